--- a/agaterail/candidates.py
+++ b/agaterail/candidates.py
@@ -22,9 +22,9 @@
 QUERY_TIMEOUT_S = 0.02
 # A home that has not answered for a while is asked only now and then: waiting
 # for it in every request would add the whole timeout to each first token.
-SILENT_AFTER_S = 0.25
-SILENT_HOME_S = 0.25
-EXACT_DEPTH = 32
+FAILURE_SPAN_S = 0.25
+HOME_BACKOFF_S = 0.25
+MAX_EXACT_DEPTH = 32
 
 
 @peer_message
@@ -101,7 +101,7 @@
 
 
 @attrs.frozen
-class ShortPrefix:
+class PrefixSample:
     """The part of a prefix that is sent to homes.
 
     Attributes
@@ -119,17 +119,17 @@
         return len(self.depths) == (self.depths[-1] if self.depths else 0)
 
 
-def shorten(prefix: Prefix) -> ShortPrefix:
+def sample_prefix(prefix: Prefix) -> PrefixSample:
     """Return the keys to send: all at the start, then fewer and fewer.
 
-    Above ``EXACT_DEPTH`` blocks, a depth is exact at the ends of the levels and
-    otherwise too small by one part in ``EXACT_DEPTH / 2`` at most.
+    Above ``MAX_EXACT_DEPTH`` blocks, a depth is exact at the ends of the levels and
+    otherwise too small by one part in ``MAX_EXACT_DEPTH / 2`` at most.
     """
     count = len(prefix.keys)
     levels = {level for level in prefix.level_blocks if 0 < level <= count}
-    depths = sorted({*_ladder(count), *levels})
+    depths = sorted({*_sampled_depths(count), *levels})
     keys = b"".join(prefix.keys[depth - 1][:SHORT_KEY_BYTES] for depth in depths)
-    return ShortPrefix(keys, tuple(depths))
+    return PrefixSample(keys, tuple(depths))
 
 
 def split_keys(keys: bytes) -> list[int]:
@@ -148,32 +148,32 @@
         self.homes = homes
         self.timers = timers
         self.timeout_s = QUERY_TIMEOUT_S
-        self.silent_until: dict[str, float] = {}
-        self.missing_since: dict[str, float] = {}
-        _warm_codec()
+        self.backoff_until: dict[str, float] = {}
+        self.failing_since: dict[str, float] = {}
+        _warm_up_codec()
 
-    def ask(self, engines: Sequence[str], prefix: ShortPrefix) -> dict[str, CandidateState]:
+    def query(self, engines: Sequence[str], prefix: PrefixSample) -> dict[str, CandidateState]:
         """Return what is known of the engines whose homes answered in time."""
         now = self.timers.now()
         depths = () if prefix.exact else prefix.depths
-        questions = {
+        queries = {
             home: CandidateQuery(tuple(asked), prefix.keys, depths)
             for home, asked in self._by_home(engines).items()
-            if self.silent_until.get(home, 0.0) <= now
+            if self.backoff_until.get(home, 0.0) <= now
         }
         states: dict[str, CandidateState] = {}
-        for answer in self._ask_all(questions):
+        for answer in self._query_all(queries):
             states.update((state.engine, state) for state in answer.states)
         return states
 
-    def tell_dispatch(
+    def notify_dispatch(
         self, engine: str, dispatch_id: str, missing_tokens: int, keys: bytes
     ) -> None:
         """Tell an engine's home of a request that is about to be sent."""
         notice = DispatchNotice(engine, dispatch_id, missing_tokens, keys)
         self.peers.notify(self.homes.home_of(engine), notice)
 
-    def tell_finish(self, engine: str, dispatch_id: str, ran: bool) -> None:
+    def notify_finish(self, engine: str, dispatch_id: str, ran: bool) -> None:
         """Tell an engine's home that a request has ended."""
         notice = FinishNotice(engine, dispatch_id, ran)
         self.peers.notify(self.homes.home_of(engine), notice)
@@ -184,30 +184,30 @@
             groups.setdefault(self.homes.home_of(engine), []).append(engine)
         return groups
 
-    def _ask_all(self, questions: dict[str, CandidateQuery]) -> list[CandidateAnswer]:
-        homes = list(questions)
+    def _query_all(self, queries: dict[str, CandidateQuery]) -> list[CandidateAnswer]:
+        homes = list(queries)
         if len(homes) == 1:
-            answers = [self._ask_one(homes[0], questions[homes[0]])]
+            answers = [self._query_one(homes[0], queries[homes[0]])]
         else:
-            waiting = [gevent.spawn(self._ask_one, home, questions[home]) for home in homes]
+            waiting = [gevent.spawn(self._query_one, home, queries[home]) for home in homes]
             gevent.joinall(waiting)
             answers = [greenlet.value for greenlet in waiting]
         return [answer for answer in answers if answer is not None]
 
-    def _ask_one(self, home: str, question: CandidateQuery) -> CandidateAnswer | None:
-        result = self.peers.query(home, question, self.timeout_s)
+    def _query_one(self, home: str, query: CandidateQuery) -> CandidateAnswer | None:
+        result = self.peers.query(home, query, self.timeout_s)
         if isinstance(result, Success) and isinstance(result.unwrap(), CandidateAnswer):
-            self.missing_since.pop(home, None)
+            self.failing_since.pop(home, None)
             return result.unwrap()
         now = self.timers.now()
         # One burst can miss the deadline many times at once, so that the time
         # counts and not the number of misses.
-        if now - self.missing_since.setdefault(home, now) >= SILENT_AFTER_S:
-            self.silent_until[home] = now + SILENT_HOME_S
+        if now - self.failing_since.setdefault(home, now) >= FAILURE_SPAN_S:
+            self.backoff_until[home] = now + HOME_BACKOFF_S
         return None
 
 
-def _warm_codec() -> None:
+def _warm_up_codec() -> None:
     # The converter writes code for each class on first use, which takes
     # milliseconds: the first questions after a start would miss their deadline.
     query = CandidateQuery(("",), b"", (1,))
@@ -216,10 +216,10 @@
         message_of(type(message), fields_of(message))
 
 
-def _ladder(count: int) -> Iterator[int]:
+def _sampled_depths(count: int) -> Iterator[int]:
     step, depth = 1, 0
     while depth + step <= count:
         depth += step
         yield depth
-        if depth >= EXACT_DEPTH * step:
+        if depth >= MAX_EXACT_DEPTH * step:
             step *= 2
--- a/agaterail/claims.py
+++ b/agaterail/claims.py
@@ -23,13 +23,13 @@
 
 PARTITIONS = 16
 KEY_BYTES = 16
-KEY_PERSON = b"agaterail-claim"
-REQUEST_PERSON = b"agaterail-req"
+KEY_HASH_PERSON = b"agaterail-claim"
+REQUEST_HASH_PERSON = b"agaterail-req"
 # A key is remembered until so many newer keys of its partition were claimed,
 # or until the log drops its record, whichever comes first.
 MAX_KEYS = 20_000
 MAX_BODY_BYTES = 2048
-MAX_BODIES_BYTES = 4 * 1024 * 1024
+MAX_TOTAL_BODY_BYTES = 4 * 1024 * 1024
 MAX_BATCH = 256
 MAX_QUEUED = 10_000
 NO_OFFSET = -1
@@ -136,7 +136,7 @@
 
 
 @attrs.define
-class Entry:
+class KeyEntry:
     """What is known of one key."""
 
     attempt: str
@@ -147,14 +147,14 @@
 
 def key_hash(workspace: str, idempotency_key: str) -> bytes:
     """Hash a key within its workspace; other workspaces' keys never collide."""
-    scope = blake2b(workspace.encode(), digest_size=KEY_BYTES, person=KEY_PERSON).digest()
+    scope = blake2b(workspace.encode(), digest_size=KEY_BYTES, person=KEY_HASH_PERSON).digest()
     text = idempotency_key.encode("utf-8", "surrogateescape")
     return blake2b(text, digest_size=KEY_BYTES, key=scope).digest()
 
 
 def request_hash(*parts: bytes) -> bytes:
     """Hash what a request asks for; the parts' lengths keep them apart."""
-    digest = blake2b(digest_size=KEY_BYTES, person=REQUEST_PERSON)
+    digest = blake2b(digest_size=KEY_BYTES, person=REQUEST_HASH_PERSON)
     for part in parts:
         digest.update(len(part).to_bytes(8, "big") + part)
     return digest.digest()
@@ -179,7 +179,7 @@
         Offset of the last folded record; -1 before the first.
     entries
         Keys in the order of their winning claims.
-    dead
+    rejected_attempts
         Attempts that lost or were released, and so can never win. A claim
         whose append was delayed can reach the log after its own release;
         without this it would win the key for a claimer that has given up.
@@ -192,9 +192,9 @@
     def reset(self) -> None:
         """Forget everything, as before the first read."""
         self.through = NO_OFFSET
-        self.entries: collections.OrderedDict[bytes, Entry] = collections.OrderedDict()
-        self.dead: collections.OrderedDict[str, None] = collections.OrderedDict()
-        self.bodies: collections.deque[Entry] = collections.deque()
+        self.entries: collections.OrderedDict[bytes, KeyEntry] = collections.OrderedDict()
+        self.rejected_attempts: collections.OrderedDict[str, None] = collections.OrderedDict()
+        self.bodies: collections.deque[KeyEntry] = collections.deque()
         self.body_bytes = 0
 
     def fold(self, offset: int, batch: ClaimBatch) -> list[Verdict]:
@@ -213,18 +213,18 @@
         for release in batch.releases:
             self._release(release)
         verdicts = [self._claim(claim) for claim in batch.claims]
-        self._forget_oldest()
+        self._evict_oldest()
         return verdicts
 
     def _claim(self, claim: Claim) -> Verdict:
         entry = self.entries.get(claim.key)
-        if entry is None and claim.attempt not in self.dead:
+        if entry is None and claim.attempt not in self.rejected_attempts:
             claimer = sys.intern(claim.claimer)
-            self.entries[claim.key] = Entry(claim.attempt, claimer, claim.request)
+            self.entries[claim.key] = KeyEntry(claim.attempt, claimer, claim.request)
             return Verdict(attempt=claim.attempt, kind=VerdictKind.WON)
         if entry is not None and entry.attempt == claim.attempt:
             return Verdict(attempt=claim.attempt, kind=VerdictKind.WON)
-        self.dead[claim.attempt] = None
+        self.rejected_attempts[claim.attempt] = None
         if entry is None:
             return Verdict(attempt=claim.attempt, kind=VerdictKind.UNAVAILABLE)
         kind = VerdictKind.FINISHED if entry.finish else VerdictKind.IN_PROGRESS
@@ -238,7 +238,7 @@
         )
 
     def _release(self, release: Release) -> None:
-        self.dead[release.attempt] = None
+        self.rejected_attempts[release.attempt] = None
         entry = self.entries.get(release.key)
         if entry is not None and entry.attempt == release.attempt and entry.finish is None:
             del self.entries[release.key]
@@ -255,12 +255,12 @@
             self.bodies.append(entry)
             self.body_bytes += len(finish.body)
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self.entries) > self.max_keys:
             self.entries.popitem(last=False)
-        while len(self.dead) > self.max_keys:
-            self.dead.popitem(last=False)
-        while self.body_bytes > MAX_BODIES_BYTES:
+        while len(self.rejected_attempts) > self.max_keys:
+            self.rejected_attempts.popitem(last=False)
+        while self.body_bytes > MAX_TOTAL_BODY_BYTES:
             entry = self.bodies.popleft()
             if entry.finish is not None:
                 self.body_bytes -= len(entry.finish.body or b"")
@@ -328,9 +328,9 @@
         if self.appending is not None or not self.has_work:
             return None
         self.appending = ClaimBatch(
-            finishes=_take(self.finishes),
-            releases=_take(self.releases),
-            claims=_take(self.claims),
+            finishes=_pop_batch(self.finishes),
+            releases=_pop_batch(self.releases),
+            claims=_pop_batch(self.claims),
         )
         return self.appending
 
@@ -350,11 +350,11 @@
             return []
         self.finishes.extendleft(reversed(batch.finishes))
         self.releases.extendleft(reversed(batch.releases))
-        still = [claim for claim in batch.claims if claim.attempt in self.waiting]
+        waiting_claims = [claim for claim in batch.claims if claim.attempt in self.waiting]
         if kind not in (LogErrorKind.DOWN, LogErrorKind.TOO_LARGE):
-            self.claims.extendleft(reversed(still))
+            self.claims.extendleft(reversed(waiting_claims))
             return []
-        return [self._unavailable(claim) for claim in still]
+        return [self._unavailable(claim) for claim in waiting_claims]
 
     def on_records(self, records: Iterable[tuple[int, ClaimBatch]]) -> list[Verdict]:
         """Fold records that were read and return verdicts on own attempts.
@@ -379,7 +379,7 @@
         return Verdict(attempt=claim.attempt, kind=VerdictKind.UNAVAILABLE)
 
 
-def _take(queue: collections.deque) -> tuple:
+def _pop_batch(queue: collections.deque) -> tuple:
     return tuple(queue.popleft() for _ in range(min(len(queue), MAX_BATCH)))
 
 
--- a/agaterail/controllers/leases.py
+++ b/agaterail/controllers/leases.py
@@ -77,7 +77,7 @@
         }
 
     def _append(self, record: LeaseRecord) -> None:
-        self.keeper.sending(record, self.app.timers.now())
+        self.keeper.on_send(record, self.app.timers.now())
         self.app.log_store.append(LEASES_STREAM, codec.encode(record))
         logger.info("Appended a lease record.", action=record.action.value)
 
--- a/agaterail/controllers/rollout.py
+++ b/agaterail/controllers/rollout.py
@@ -22,8 +22,8 @@
     Revision,
     Step,
     StepKind,
-    plan,
-    take_in,
+    plan_steps,
+    update_view,
 )
 from agaterail.tables import NO_VERSION, Pool, PoolKind, Versioned
 
@@ -87,7 +87,9 @@
         self._read_back(pools)
         if self.app.timers.now() < self.orders_from:
             return
-        for step in plan(pools, self.engines, frozenset(self.halted), self.app.timers.now()):
+        for step in plan_steps(
+            pools, self.engines, frozenset(self.halted), self.app.timers.now()
+        ):
             if not self._take(step):
                 return
 
@@ -95,7 +97,7 @@
         """Return the halted revisions and the engines that are being changed."""
         now = self.app.timers.now()
         halted = {f"{item.pool}@{item.version}": why for item, why in self.halted.items()}
-        busy = [address for address, view in self.engines.items() if view.busy(now)]
+        busy = [address for address, view in self.engines.items() if view.may_be_loading(now)]
         return {"halted": halted, "busy": busy, "leading": self.fencing != NO_VERSION}
 
     def _take_over(self, now: float) -> None:
@@ -116,7 +118,7 @@
         ]
         for held in pools:
             for entry in held.row.targets:
-                self.engines.setdefault(entry.address, EngineView(known_at=now))
+                self.engines.setdefault(entry.address, EngineView(unread_since=now))
         return pools
 
     def _read_back(self, pools: list[Versioned[Pool]]) -> None:
@@ -125,7 +127,7 @@
         reads = readers.map(lambda address: self.app.engine_at(address).state(), due)
         for address, read in zip(due, reads, strict=True):
             view = self.engines[address]
-            take_in(view, read.value_or(None), self.app.timers.now())
+            update_view(view, read.value_or(None), self.app.timers.now())
 
     def _due(self, pools: list[Versioned[Pool]]) -> list[str]:
         # Engines that are not where they should be are read at each step; the
--- a/agaterail/controllers/transfers.py
+++ b/agaterail/controllers/transfers.py
@@ -57,7 +57,7 @@
                 wanted=len(use.keys),
                 blocks=exported.unwrap(),
             )
-        self.app.exports.mark_kept(use, self.app.timers.now())
+        self.app.exports.mark_exported(use, self.app.timers.now())
 
 
 def setup(app: Application) -> None:
--- a/agaterail/filters/choose.py
+++ b/agaterail/filters/choose.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from agaterail import errors, logs, transfers
-from agaterail.candidates import ShortPrefix, shorten
+from agaterail.candidates import PrefixSample, sample_prefix
 from agaterail.errors import ErrorKind, Outcome
 from agaterail.filters import Filter
 from agaterail.filters.prefix import name, prefix_in
@@ -56,8 +56,8 @@
         )
         policy = self.app.policy_of(pool)
         short = None
-        if policy.asks_homes and exchange.prefix is not None:
-            short = shorten(exchange.prefix)
+        if policy.queries_homes and exchange.prefix is not None:
+            short = sample_prefix(exchange.prefix)
         chosen = self._choose(exchange, policy, placement, short)
         if not isinstance(chosen, Success):
             return Failure(chosen.failure())
@@ -82,7 +82,7 @@
         exchange: Exchange,
         policy: Policy,
         placement: Placement,
-        short: ShortPrefix | None,
+        short: PrefixSample | None,
     ) -> Result[Decision, errors.Failure]:
         targets = None
         if short is not None:
@@ -103,17 +103,17 @@
         return Success(decision)
 
     def _ask(
-        self, exchange: Exchange, asked: list[str], short: ShortPrefix
+        self, exchange: Exchange, asked: list[str], short: PrefixSample
     ) -> dict[str, CandidateState]:
         assert exchange.pool is not None and exchange.scope is not None
-        views = dict(self.app.candidates.ask(asked, short))
+        views = dict(self.app.candidates.query(asked, short))
         for version in exchange.pool.also_serve:
             older = [address for address in asked if _version(views, address) == version]
             if older and version != exchange.scope.weights_version:
                 # Blocks of the older weights have keys of their own.
                 scope = attrs.evolve(exchange.scope, weights_version=version)
-                named = shorten(prefix_in(exchange, scope))
-                views.update(self.app.candidates.ask(older, named))
+                named = sample_prefix(prefix_in(exchange, scope))
+                views.update(self.app.candidates.query(older, named))
         for address, view in views.items():
             # A home's report lags; what the target itself answered goes first.
             state = self.app.targets.states[address]
@@ -145,11 +145,11 @@
         return Source(store.address, kept) if kept else None
 
     def _proceed_told(
-        self, exchange: Exchange, proceed: Proceed, decision: Decision, short: ShortPrefix
+        self, exchange: Exchange, proceed: Proceed, decision: Decision, short: PrefixSample
     ) -> Result[Reply, errors.Failure]:
         if self._rename(exchange, decision):
             assert exchange.prefix is not None
-            short = shorten(exchange.prefix)
+            short = sample_prefix(exchange.prefix)
         assert exchange.prefix is not None and exchange.pool is not None
         address, dispatch_id = decision.address, exchange.attempt_id
         hit_tokens = decision.hit_blocks * exchange.pool.block_tokens
@@ -158,13 +158,13 @@
             copied = decision.transfer.end - decision.transfer.start
             missing = max(0, missing - copied * exchange.pool.block_tokens)
         finder = self.app.candidates
-        finder.tell_dispatch(address, dispatch_id, missing, short.keys)
+        finder.notify_dispatch(address, dispatch_id, missing, short.keys)
         result = proceed(exchange)
         if isinstance(result, Success):
-            exchange.on_finish(lambda _: finder.tell_finish(address, dispatch_id, True))
+            exchange.on_finish(lambda _: finder.notify_finish(address, dispatch_id, True))
         else:
             ran = result.failure().outcome is not Outcome.NOT_RUN
-            finder.tell_finish(address, dispatch_id, ran)
+            finder.notify_finish(address, dispatch_id, ran)
         return result
 
 
--- a/agaterail/filters/limits.py
+++ b/agaterail/filters/limits.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result
 
 from agaterail import admission, errors
-from agaterail.admission import FairGate, Load, MissShare
+from agaterail.admission import AdmissionRequest, FairGate, MissRatio
 from agaterail.errors import ErrorKind, Outcome
 from agaterail.events import MembersChanged
 from agaterail.filters import Filter
@@ -64,7 +64,7 @@
         def release(outcome: Outcome) -> None:
             use.in_flight -= 1
             if outcome is Outcome.NOT_RUN and use.bucket is not None:
-                use.bucket.give_back(tokens)
+                use.bucket.refund(tokens)
 
         exchange.on_finish(release)
         return proceed(exchange)
@@ -104,7 +104,7 @@
         self.app = app
         self.members = 1
         self.gates: dict[str, FairGate] = {}
-        self.shares: dict[str, MissShare] = {}
+        self.shares: dict[str, MissRatio] = {}
         app.events.subscribe(MembersChanged, self._on_members)
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
@@ -114,9 +114,9 @@
         if load is None:
             return proceed(exchange)
         gate, capacity_ms = self.gate_of(pool), self.capacity_ms(pool, route.deadline_ms)
-        weight = admission.weight_of(load.priority)
+        weight = admission.priority_weight(load.priority)
         light = gate.is_light(load.workspace, load.cost_ms, capacity_ms)
-        if not admission.in_time(load) or not gate.admit(
+        if not admission.can_meet_deadline(load) or not gate.admit(
             load.workspace, load.cost_ms, capacity_ms, weight
         ):
             hint_s = (load.expected_ms or 0.0) / 1e3
@@ -127,7 +127,7 @@
         try:
             return proceed(exchange)
         finally:
-            gate.leave(load.workspace, load.cost_ms)
+            gate.release(load.workspace, load.cost_ms)
 
     def gate_of(self, pool: Pool) -> FairGate:
         """Return the gate of a pool, made on first use."""
@@ -138,28 +138,28 @@
 
     def capacity_ms(self, pool: Pool, deadline_ms: float) -> float:
         """Return the queue that this daemon may keep at a pool."""
-        return admission.capacity_of(len(pool.targets), self.members, deadline_ms)
+        return admission.queue_capacity_ms(len(pool.targets), self.members, deadline_ms)
 
-    def _load_of(self, exchange: Exchange) -> Load | None:
+    def _load_of(self, exchange: Exchange) -> AdmissionRequest | None:
         route, pool, decision = exchange.route, exchange.pool, exchange.decision
         assert route is not None and pool is not None and decision is not None
         if exchange.prefix is None:
             return None
         missing = self._missing_tokens(pool, exchange.prefix.prompt_tokens, decision)
-        return Load(
+        return AdmissionRequest(
             workspace=route.workspace,
             priority=route.priority,
             cost_ms=BASE_COST_MS + missing * pool.prefill_ms_per_token,
             expected_ms=decision.expected_ms,
-            left_ms=(exchange.deadline_at - self.app.timers.now()) * 1e3,
+            remaining_ms=(exchange.deadline_at - self.app.timers.now()) * 1e3,
         )
 
     def _missing_tokens(self, pool: Pool, prompt_tokens: int, decision: Decision) -> int:
-        share = self.shares.setdefault(pool.name, MissShare())
+        share = self.shares.setdefault(pool.name, MissRatio())
         if decision.expected_ms is None:
             return round(prompt_tokens * share.value)
         missing = max(0, prompt_tokens - decision.hit_blocks * pool.block_tokens)
-        share.learn(missing, prompt_tokens)
+        share.update(missing, prompt_tokens)
         return missing
 
     def _on_members(self, event: MembersChanged) -> None:
@@ -184,7 +184,7 @@
             route.workspace,
             BASE_COST_MS,
             self.admission_filter.capacity_ms(pool, route.deadline_ms),
-            admission.weight_of(route.priority),
+            admission.priority_weight(route.priority),
         )
         if full:
             return Failure(_refusal(ErrorKind.OVERLOADED, exchange))
--- a/agaterail/filters/prefix.py
+++ b/agaterail/filters/prefix.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from agaterail.filters import Filter
-from agaterail.prefix import ByteTokenizer, Scope, name_prefix
+from agaterail.prefix import ByteTokenizer, Scope, compute_prefix
 
 if TYPE_CHECKING:
     from returns.result import Result
@@ -52,7 +52,7 @@
     """Return the prompt's prefix as it is named in a scope."""
     assert exchange.pool is not None and exchange.chat is not None
     pool = exchange.pool
-    return name_prefix(
+    return compute_prefix(
         scope, exchange.chat.messages, ByteTokenizer(pool.token_bytes), pool.block_tokens
     )
 
--- a/agaterail/filters/transfer.py
+++ b/agaterail/filters/transfer.py
@@ -45,7 +45,9 @@
         if isinstance(result, Success):
             keys = prefix.keys[: transfers.shared_blocks(prefix)]
             exchange.on_finish(
-                lambda _: self.app.exports.note(decision.address, keys, self.app.timers.now())
+                lambda _: self.app.exports.record_use(
+                    decision.address, keys, self.app.timers.now()
+                )
             )
         return result
 
--- a/agaterail/heat.py
+++ b/agaterail/heat.py
@@ -6,21 +6,21 @@
 
 HALF_LIFE_S = 5.0
 MAX_KEYS = 4096
-WIDEN_PER_S = 8.0
-NARROW_FACTOR = 0.5
-MAX_EXTRA = 8
+REPLICA_RATE_PER_S = 8.0
+SHRINK_FACTOR = 0.5
+MAX_EXTRA_REPLICAS = 8
 
 
 @attrs.define
-class KeyHeat:
+class KeyRate:
     """Decayed request rate of one key and the replicas granted for it."""
 
     rate_per_s: float = 0.0
     seen_at: float = 0.0
-    extra: int = 0
+    extra_replicas: int = 0
 
 
-class Heat:
+class HotKeyTracker:
     """Request rates that decay with a half-life, over all daemons.
 
     Attributes
@@ -29,46 +29,50 @@
         Daemons that share the traffic evenly; each sees one part of a rate.
     """
 
-    def __init__(self, widen_per_s: float = WIDEN_PER_S, max_keys: int = MAX_KEYS) -> None:
-        self.widen_per_s = widen_per_s
+    def __init__(
+        self, replica_rate_per_s: float = REPLICA_RATE_PER_S, max_keys: int = MAX_KEYS
+    ) -> None:
+        self.replica_rate_per_s = replica_rate_per_s
         self.max_keys = max_keys
         self.members = 1
-        self.keys: dict[bytes, KeyHeat] = {}
+        self.keys: dict[bytes, KeyRate] = {}
 
     def on_request(self, key: bytes, now: float) -> int:
         """Count a request and return how many engines more its key may use."""
-        heat = self.keys.get(key)
-        if heat is None:
-            self._make_room(now)
-            heat = self.keys[key] = KeyHeat(seen_at=now)
-        heat.rate_per_s = self._rate(heat, now) + self._gain()
-        heat.seen_at = now
-        heat.extra = self._extra(heat)
-        return heat.extra
+        key_rate = self.keys.get(key)
+        if key_rate is None:
+            self._evict_coldest(now)
+            key_rate = self.keys[key] = KeyRate(seen_at=now)
+        key_rate.rate_per_s = self._rate(key_rate, now) + self._rate_increment()
+        key_rate.seen_at = now
+        key_rate.extra_replicas = self._extra_replicas(key_rate)
+        return key_rate.extra_replicas
 
     def rate_per_s(self, key: bytes, now: float) -> float:
         """Return the rate of a key over all daemons."""
-        heat = self.keys.get(key)
-        return 0.0 if heat is None else self._rate(heat, now) * self.members
-
-    def _extra(self, heat: KeyHeat) -> int:
-        rate = heat.rate_per_s * self.members
-        most = min(MAX_EXTRA, int(rate / self.widen_per_s))
-        if most >= heat.extra:
-            return most
+        key_rate = self.keys.get(key)
+        return 0.0 if key_rate is None else self._rate(key_rate, now) * self.members
+
+    def _extra_replicas(self, key_rate: KeyRate) -> int:
+        rate = key_rate.rate_per_s * self.members
+        replicas = min(MAX_EXTRA_REPLICAS, int(rate / self.replica_rate_per_s))
+        if replicas >= key_rate.extra_replicas:
+            return replicas
         # Between the two limits nothing changes: each change of the list costs
         # a recomputation, and a rate near one limit would flap.
-        least = min(MAX_EXTRA, int(rate / (self.widen_per_s * NARROW_FACTOR)))
-        return min(heat.extra, least)
+        shrunk_replicas = min(
+            MAX_EXTRA_REPLICAS, int(rate / (self.replica_rate_per_s * SHRINK_FACTOR))
+        )
+        return min(key_rate.extra_replicas, shrunk_replicas)
 
-    def _rate(self, heat: KeyHeat, now: float) -> float:
-        return heat.rate_per_s * 0.5 ** ((now - heat.seen_at) / HALF_LIFE_S)
+    def _rate(self, key_rate: KeyRate, now: float) -> float:
+        return key_rate.rate_per_s * 0.5 ** ((now - key_rate.seen_at) / HALF_LIFE_S)
 
-    def _gain(self) -> float:
+    def _rate_increment(self) -> float:
         # A steady stream of r requests a second settles at a rate of r.
         return 0.6931 / HALF_LIFE_S
 
-    def _make_room(self, now: float) -> None:
+    def _evict_coldest(self, now: float) -> None:
         if len(self.keys) < self.max_keys:
             return
         by_rate = sorted(self.keys, key=lambda key: self._rate(self.keys[key], now))
--- a/agaterail/homes.py
+++ b/agaterail/homes.py
@@ -16,7 +16,7 @@
 
 # Engines are few beside the daemons at target size, so that an even spread
 # matters less than a quick rebuild while many daemons restart.
-MEMBER_DIGESTS = 3
+DIGESTS_PER_MEMBER = 3
 
 
 class HomeMap:
@@ -31,15 +31,15 @@
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
         self.members: tuple[str, ...] = (own_address,)
-        self.ring = ring.Ring(self.members, MEMBER_DIGESTS)
+        self.ring = ring.Ring(self.members, DIGESTS_PER_MEMBER)
         self.homes: dict[str, str] = {}
 
     def home_of(self, engine: str) -> str:
         """Return the address of an engine's home."""
         home = self.homes.get(engine)
         if home is None:
-            place = self.ring.first(ring.number_of(engine.encode()))
-            home = self.homes[engine] = self.members[place]
+            position = self.ring.first(ring.number_of(engine.encode()))
+            home = self.homes[engine] = self.members[position]
         return home
 
     def is_own(self, engine: str) -> bool:
@@ -48,10 +48,10 @@
 
     def set_members(self, members: Iterable[str]) -> None:
         """Change the live daemons."""
-        wanted = tuple(sorted({*members, self.own_address}))
-        if wanted != self.members:
-            self.members = wanted
-            self.ring = ring.Ring(wanted, MEMBER_DIGESTS)
+        new_members = tuple(sorted({*members, self.own_address}))
+        if new_members != self.members:
+            self.members = new_members
+            self.ring = ring.Ring(new_members, DIGESTS_PER_MEMBER)
             self.homes.clear()
 
     def set_engines(self, engines: Iterable[str]) -> None:
--- a/agaterail/index.py
+++ b/agaterail/index.py
@@ -21,26 +21,26 @@
     from agaterail.engines import CacheContents, CacheEvent, CacheEvents
 
 SHORT_KEY_BYTES = 8
-EMPTY = 0
+EMPTY_KEY = 0
 MIN_SLOTS = 16
-MAX_FILL = 0.8
-GROWTH = 1.25
+MAX_LOAD_FACTOR = 0.8
+GROWTH_FACTOR = 1.25
 
 GENERATION_BITS = 8
-OLD_GENERATION = 0
-LAST_GENERATION = (1 << GENERATION_BITS) - 1
+SUSPECT_GENERATION = 0
+MAX_GENERATION = (1 << GENERATION_BITS) - 1
 TICKS_PER_S = 10
 TICK_MASK = (1 << (32 - GENERATION_BITS)) - 1
 
-REMEMBERED_INCARNATIONS = 16
+MAX_PAST_INCARNATIONS = 16
 MAX_PREDICTED = 20_000
 PREDICTED_CONFIDENCE = 0.9
 SUSPECT_CONFIDENCE = 0.5
 MAX_SUSPECT_CONFIDENCE = 0.9
 MIN_SUSPECT_CONFIDENCE = 0.05
-LIFETIME_WEIGHT = 0.05
-SWEPT_LIFETIMES = 2.0
-MIN_SWEPT_S = 5.0
+LIFETIME_EWMA_WEIGHT = 0.05
+MAX_SUSPECT_LIFETIMES = 2.0
+MIN_SUSPECT_AGE_S = 5.0
 
 
 def short_key(key: bytes) -> int:
@@ -57,7 +57,7 @@
     __slots__ = ("count", "keys", "stamps")
 
     def __init__(self, expected: int = 0) -> None:
-        slots = max(MIN_SLOTS, int(expected / MAX_FILL) + 1)
+        slots = max(MIN_SLOTS, int(expected / MAX_LOAD_FACTOR) + 1)
         self.keys = array("Q", bytes(8 * slots))
         self.stamps = array("I", bytes(4 * slots))
         self.count = 0
@@ -66,15 +66,15 @@
         return self.count
 
     def __iter__(self) -> Iterator[int]:
-        return (key for key in self.keys if key != EMPTY)
+        return (key for key in self.keys if key != EMPTY_KEY)
 
     def slot_of(self, key: int) -> int:
         """Return the slot of a key, or -1."""
         keys = self.keys
         size = len(keys)
         slot = key % size
-        while (held := keys[slot]) != key:
-            if held == EMPTY:
+        while (found := keys[slot]) != key:
+            if found == EMPTY_KEY:
                 return -1
             slot += 1
             if slot == size:
@@ -86,10 +86,10 @@
         keys = self.keys
         size = len(keys)
         slot = key % size
-        while (held := keys[slot]) != key:
-            if held == EMPTY:
-                if self.count + 1 > size * MAX_FILL:
-                    self._resize(int(size * GROWTH) + 1)
+        while (found := keys[slot]) != key:
+            if found == EMPTY_KEY:
+                if self.count + 1 > size * MAX_LOAD_FACTOR:
+                    self._resize(int(size * GROWTH_FACTOR) + 1)
                     self.put(key, stamp)
                     return
                 keys[slot] = key
@@ -107,16 +107,16 @@
             return None
         stamp = self.stamps[hole]
         self.count -= 1
-        self._close(hole)
+        self._shift_back(hole)
         return stamp
 
     def reserve(self, expected: int) -> None:
         """Make room at once for so many keys."""
-        slots = int(expected / MAX_FILL) + 1
+        slots = int(expected / MAX_LOAD_FACTOR) + 1
         if slots > len(self.keys):
             self._resize(slots)
 
-    def _close(self, hole: int) -> None:
+    def _shift_back(self, hole: int) -> None:
         # Later keys of the same run move back, so that no tombstones are
         # needed: they would fill a table in which keys come and go all day.
         keys, stamps = self.keys, self.stamps
@@ -125,13 +125,13 @@
         while True:
             slot = slot + 1 if slot + 1 < size else 0
             key = keys[slot]
-            if key == EMPTY:
+            if key == EMPTY_KEY:
                 break
             if (slot - key % size) % size >= (slot - hole) % size:
                 keys[hole] = key
                 stamps[hole] = stamps[slot]
                 hole = slot
-        keys[hole] = EMPTY
+        keys[hole] = EMPTY_KEY
 
     def _resize(self, slots: int) -> None:
         old = zip(self.keys, self.stamps, strict=True)
@@ -139,7 +139,7 @@
         self.stamps = array("I", bytes(4 * slots))
         self.count = 0
         for key, stamp in old:
-            if key != EMPTY:
+            if key != EMPTY_KEY:
                 self.put(key, stamp)
 
 
@@ -186,11 +186,11 @@
         self.started_at = now
         self.table = KeyTable()
         self.capacity = 0
-        self.generation = OLD_GENERATION + 1
+        self.generation = SUSPECT_GENERATION + 1
         self.incarnation = ""
         self.weights_version = ""
-        self.learnt_at = now
-        self.dead: deque[str] = deque(maxlen=REMEMBERED_INCARNATIONS)
+        self.incarnation_known_at = now
+        self.past_incarnations: deque[str] = deque(maxlen=MAX_PAST_INCARNATIONS)
         self.sequence = 0
         self.needs_contents = True
         self.predicted: dict[int, Prediction] = {}
@@ -215,12 +215,12 @@
         # been answered by the one before. Taking it for a newer one would
         # follow the dead engine and ignore the live one from then on. If there
         # is a newer one, the next question finds it.
-        if incarnation in self.dead or asked_at < self.learnt_at:
+        if incarnation in self.past_incarnations or asked_at < self.incarnation_known_at:
             return False
         if self.incarnation:
-            self.dead.append(self.incarnation)
+            self.past_incarnations.append(self.incarnation)
         self.incarnation = incarnation
-        self.learnt_at = now
+        self.incarnation_known_at = now
         self.drop_all()
         self.sequence = 0
         self.needs_contents = True
@@ -259,8 +259,8 @@
         self.table = KeyTable(max(self.capacity, len(contents.keys)))
         for key in map(short_key, contents.keys):
             slot = old.slot_of(key)
-            touched = stamp if slot < 0 else old.stamps[slot]
-            self.table.put(key, self._with_generation(touched))
+            previous_stamp = stamp if slot < 0 else old.stamps[slot]
+            self.table.put(key, self._with_generation(previous_stamp))
         self.sequence = contents.sequence
         self.needs_contents = False
         return True
@@ -306,11 +306,11 @@
     def expire(self, now: float) -> None:
         """Drop predictions past their time and entries that have surely gone."""
         for dispatch_id, keys in list(self.dispatches.items()):
-            held = [self.predicted.get(key) for key in keys]
-            if all(item is None or item.until <= now for item in held):
+            found = [self.predicted.get(key) for key in keys]
+            if all(item is None or item.until <= now for item in found):
                 self.withdraw(dispatch_id)
         if self.lifetime_s is not None and len(self.table) > self.capacity:
-            self._sweep(now, max(MIN_SWEPT_S, SWEPT_LIFETIMES * self.lifetime_s))
+            self._sweep(now, max(MIN_SUSPECT_AGE_S, MAX_SUSPECT_LIFETIMES * self.lifetime_s))
 
     # Questions
 
@@ -339,7 +339,7 @@
         slot = self.table.slot_of(key)
         if slot >= 0:
             stamp = self.table.stamps[slot]
-            if stamp & LAST_GENERATION == self.generation:
+            if stamp & MAX_GENERATION == self.generation:
                 return 1.0
             return self._suspect_confidence(self._age_s(stamp, now))
         prediction = self.predicted.get(key)
@@ -379,7 +379,7 @@
     def _observe_lifetime(self, age_s: float) -> None:
         if self.lifetime_s is None:
             self.lifetime_s = age_s
-        self.lifetime_s += LIFETIME_WEIGHT * (age_s - self.lifetime_s)
+        self.lifetime_s += LIFETIME_EWMA_WEIGHT * (age_s - self.lifetime_s)
 
     def _mark_gap(self, lost: int) -> None:
         # A lost eviction leaves an entry that is not cached any more. All
@@ -387,17 +387,17 @@
         self.gaps += 1
         self.lost_events += lost
         self.needs_contents = True
-        if self.generation == LAST_GENERATION:
-            self._age_all()
+        if self.generation == MAX_GENERATION:
+            self._mark_all_suspect()
         self.generation += 1
 
-    def _age_all(self) -> None:
+    def _mark_all_suspect(self) -> None:
         # The number is about to be used again: entries that still carry it
         # from 255 gaps ago would count as trusted.
         stamps = self.table.stamps
         for slot, stamp in enumerate(stamps):
-            stamps[slot] = stamp & ~LAST_GENERATION | OLD_GENERATION
-        self.generation = OLD_GENERATION
+            stamps[slot] = stamp & ~MAX_GENERATION | SUSPECT_GENERATION
+        self.generation = SUSPECT_GENERATION
 
     def _suspect_confidence(self, age_s: float) -> float:
         if self.lifetime_s is None:
@@ -409,8 +409,8 @@
         stale = [
             key
             for key, stamp in zip(self.table.keys, self.table.stamps, strict=True)
-            if key != EMPTY
-            and stamp & LAST_GENERATION != self.generation
+            if key != EMPTY_KEY
+            and stamp & MAX_GENERATION != self.generation
             and self._age_s(stamp, now) > limit_s
         ]
         for key in stale:
@@ -423,11 +423,11 @@
         return self._tick(now) << GENERATION_BITS | self.generation
 
     def _with_generation(self, stamp: int) -> int:
-        return stamp & ~LAST_GENERATION | self.generation
+        return stamp & ~MAX_GENERATION | self.generation
 
     def _touch(self, slot: int, now: float) -> None:
         stamps = self.table.stamps
-        stamps[slot] = self._tick(now) << GENERATION_BITS | stamps[slot] & LAST_GENERATION
+        stamps[slot] = self._tick(now) << GENERATION_BITS | stamps[slot] & MAX_GENERATION
 
     def _age_s(self, stamp: int, now: float) -> float:
         return ((self._tick(now) - (stamp >> GENERATION_BITS)) & TICK_MASK) / TICKS_PER_S
--- a/agaterail/leases.py
+++ b/agaterail/leases.py
@@ -85,14 +85,18 @@
         Records before this one expired unread. It is then taken as accepted,
         which only makes the reader wait longer before it tries to acquire.
     """
-    moved = attrs.evolve(view, last_offset=offset)
+    advanced = attrs.evolve(view, last_offset=offset)
     if not gap and record.after != view.last_offset:
-        return moved
+        return advanced
     if record.action is LeaseAction.RELEASE:
-        return attrs.evolve(moved, holder="", nonce=record.nonce)
+        return attrs.evolve(advanced, holder="", nonce=record.nonce)
     fencing = offset if record.action is LeaseAction.ACQUIRE else record.fencing
     return attrs.evolve(
-        moved, holder=record.holder, fencing=fencing, nonce=record.nonce, term_s=record.term_s
+        advanced,
+        holder=record.holder,
+        fencing=fencing,
+        nonce=record.nonce,
+        term_s=record.term_s,
     )
 
 
@@ -169,10 +173,10 @@
         if self.view.holder == self.holder:
             return self._renewal(now)
         if self.view.holder:
-            lapsed_at = self.changed_at + self.view.term_s * CLOCK_RATE_MARGIN
+            expired_at = self.changed_at + self.view.term_s * CLOCK_RATE_MARGIN
         else:
-            lapsed_at = self.changed_at
-        if now < lapsed_at + rank * RANK_DELAY_S:
+            expired_at = self.changed_at
+        if now < expired_at + rank * RANK_DELAY_S:
             return None
         return self._record(LeaseAction.ACQUIRE, NO_OFFSET)
 
@@ -183,7 +187,7 @@
         self.held_until = float("-inf")
         return self._record(LeaseAction.RELEASE, self.view.fencing)
 
-    def sending(self, record: LeaseRecord, now: float) -> None:
+    def on_send(self, record: LeaseRecord, now: float) -> None:
         """Note the time before an append is sent."""
         self.sent_at = {record.nonce: now}
 
--- a/agaterail/limits.py
+++ b/agaterail/limits.py
@@ -26,29 +26,31 @@
     def __init__(self, rate: float, now: float) -> None:
         self.rate = rate
         self.tokens = rate * BURST_S
-        self.at = now
+        self.filled_at = now
 
     def set_rate(self, rate: float, now: float) -> None:
         """Change the rate; what was spent stays spent."""
-        self._fill(now)
+        self._refill(now)
         self.rate = rate
         self.tokens = min(self.tokens, rate * BURST_S)
 
     def take(self, amount: float, now: float) -> float:
         """Take tokens; returns 0, or the seconds to wait when there are none."""
-        self._fill(now)
+        self._refill(now)
         if self.tokens <= 0.0:
             return (1.0 - self.tokens) / self.rate
         self.tokens -= amount
         return 0.0
 
-    def give_back(self, amount: float) -> None:
+    def refund(self, amount: float) -> None:
         """Return the tokens of a request that did not run."""
         self.tokens = min(self.rate * BURST_S, self.tokens + amount)
 
-    def _fill(self, now: float) -> None:
-        self.tokens = min(self.rate * BURST_S, self.tokens + self.rate * (now - self.at))
-        self.at = now
+    def _refill(self, now: float) -> None:
+        self.tokens = min(
+            self.rate * BURST_S, self.tokens + self.rate * (now - self.filled_at)
+        )
+        self.filled_at = now
 
 
 def concurrency_share(limit: int, key: bytes, own: str, members: Sequence[str]) -> int:
@@ -64,8 +66,8 @@
         return limit
     if limit < count:
         return 1
-    whole, rest = divmod(limit, count)
-    return whole + (own in rendezvous.ranked(key, members, rest))
+    quotient, remainder = divmod(limit, count)
+    return quotient + (own in rendezvous.ranked(key, members, remainder))
 
 
 def rate_share(rate: float, own: str, members: Sequence[str]) -> float:
--- a/agaterail/loads.py
+++ b/agaterail/loads.py
@@ -12,7 +12,7 @@
 
 # A report and a dispatch notice that cross on the way may be counted in the
 # wrong order; counting a request twice for this long is the safe side.
-COVERED_SLACK_S = 0.005
+REPORT_SLACK_S = 0.005
 MAX_DISPATCHES = 4096
 MAX_DISPATCH_AGE_S = 60.0
 
@@ -36,14 +36,14 @@
 
     Attributes
     ----------
-    described_at
+    measured_at
         Second of this host's clock that the last report describes.
     """
 
     def __init__(self, prefill_ms_per_token: float) -> None:
         self.prefill_ms_per_token = prefill_ms_per_token
         self.report: LoadReport | None = None
-        self.described_at = 0.0
+        self.measured_at = 0.0
         self.sent: deque[SentRequest] = deque(maxlen=MAX_DISPATCHES)
         self.running: dict[str, float] = {}
         self.backlog_ms = 0.0
@@ -57,15 +57,15 @@
         asked_at
             Second of this host's clock at which the report was asked for.
         """
-        described_at = asked_at - report.age_ms / 1e3
+        measured_at = asked_at - report.age_ms / 1e3
         known = self.report
         same = known is not None and known.incarnation == report.incarnation
-        if same and described_at <= self.described_at:
+        if same and measured_at <= self.measured_at:
             return False
         if known is not None and not same:
             self.on_restart()
         self.report = report
-        self.described_at = described_at
+        self.measured_at = measured_at
         if report.prefill_ms_per_token > 0:
             self.prefill_ms_per_token = report.prefill_ms_per_token
         self._rebuild()
@@ -82,7 +82,7 @@
         """Count a request from the moment it is sent."""
         self.sent.append(SentRequest(dispatch_id, now, missing_tokens))
         self.running[dispatch_id] = now
-        self._work_off(now)
+        self._advance(now)
         self.backlog_ms += missing_tokens * self.prefill_ms_per_token
 
     def on_finish(self, dispatch_id: str, ran: bool) -> None:
@@ -110,20 +110,20 @@
 
     def age_ms(self, now: float) -> float:
         """Return the age of the report, or -1 before the first."""
-        return -1.0 if self.report is None else (now - self.described_at) * 1e3
+        return -1.0 if self.report is None else (now - self.measured_at) * 1e3
 
     def _rebuild(self) -> None:
         assert self.report is not None
-        covered_until = self.described_at - COVERED_SLACK_S
+        covered_until = self.measured_at - REPORT_SLACK_S
         while self.sent and self.sent[0].sent_at <= covered_until:
             self.sent.popleft()
         self.backlog_ms = self.report.waiting_prefill_tokens * self.prefill_ms_per_token
-        self.backlog_at = self.described_at
+        self.backlog_at = self.measured_at
         for request in self.sent:
-            self._work_off(request.sent_at)
+            self._advance(request.sent_at)
             self.backlog_ms += request.missing_tokens * self.prefill_ms_per_token
 
-    def _work_off(self, now: float) -> None:
+    def _advance(self, now: float) -> None:
         if now > self.backlog_at:
             self.backlog_ms = self.queue_ms(now)
             self.backlog_at = now
--- a/agaterail/members.py
+++ b/agaterail/members.py
@@ -17,12 +17,12 @@
 
 CALL_WEIGHT = 4
 QUERY_WEIGHT = 1
-SUSPECT_WEIGHT = 8
-SUSPECT_SPAN_S = 1.0
-FORGET_FAILURES_S = 10.0
-FIRST_ABSENCE_S = 10.0
-MAX_ABSENCE_S = 60.0
-DRAIN_MEMORY_S = 60.0
+EJECTION_WEIGHT = 8
+MIN_FAILURE_SPAN_S = 1.0
+FAILURE_RESET_S = 10.0
+MIN_EJECTION_S = 10.0
+MAX_EJECTION_S = 60.0
+DRAIN_TTL_S = 60.0
 MAX_CONTACTS = 16
 
 
@@ -34,17 +34,17 @@
     ----------
     since, last
         Monotonic seconds of the first and last failure in a row.
-    absent_until
+    ejected_until
         Monotonic second until which the member is left out.
-    absence_s
+    ejection_s
         Length of the last absence.
     """
 
     since: float
     last: float
     weight: int = 0
-    absent_until: float = 0.0
-    absence_s: float = 0.0
+    ejected_until: float = 0.0
+    ejection_s: float = 0.0
 
 
 class MemberView:
@@ -74,7 +74,9 @@
             # believe it would move every engine's home here at once.
             return
         self.listed = listed
-        self.suspicions = {key: kept for key, kept in self.suspicions.items() if key in listed}
+        self.suspicions = {
+            key: suspicion for key, suspicion in self.suspicions.items() if key in listed
+        }
         self.drained = {key: until for key, until in self.drained.items() if key in listed}
 
     def on_heard(self, address: str) -> None:
@@ -91,23 +93,25 @@
         Failures must span a second: after a pause of this process all its
         queries time out at once, and that says nothing of the others.
         """
-        seen = self.suspicions.get(address)
-        if seen is None:
-            seen = self.suspicions[address] = Suspicion(now, now)
-        if now < seen.absent_until:
+        suspicion = self.suspicions.get(address)
+        if suspicion is None:
+            suspicion = self.suspicions[address] = Suspicion(now, now)
+        if now < suspicion.ejected_until:
             return
-        if now - seen.last > FORGET_FAILURES_S:
-            seen.since, seen.weight = now, 0
-        seen.last = now
-        seen.weight += weight
-        if seen.weight >= SUSPECT_WEIGHT and now - seen.since >= SUSPECT_SPAN_S:
-            seen.absence_s = min(MAX_ABSENCE_S, max(FIRST_ABSENCE_S, 2 * seen.absence_s))
-            seen.absent_until = now + seen.absence_s
-            seen.since, seen.weight = seen.absent_until, 0
+        if now - suspicion.last > FAILURE_RESET_S:
+            suspicion.since, suspicion.weight = now, 0
+        suspicion.last = now
+        suspicion.weight += weight
+        if suspicion.weight >= EJECTION_WEIGHT and now - suspicion.since >= MIN_FAILURE_SPAN_S:
+            suspicion.ejection_s = min(
+                MAX_EJECTION_S, max(MIN_EJECTION_S, 2 * suspicion.ejection_s)
+            )
+            suspicion.ejected_until = now + suspicion.ejection_s
+            suspicion.since, suspicion.weight = suspicion.ejected_until, 0
 
     def on_drain(self, address: str, now: float) -> None:
         """Note a member's word that it leaves, until the list has caught up."""
-        self.drained[address] = now + DRAIN_MEMORY_S
+        self.drained[address] = now + DRAIN_TTL_S
 
     def live(self, now: float) -> tuple[str, ...]:
         """Return the members, sorted; this daemon is one unless it leaves."""
@@ -121,5 +125,5 @@
     def _is_live(self, address: str, now: float) -> bool:
         if self.drained.get(address, now) > now:
             return False
-        seen = self.suspicions.get(address)
-        return seen is None or now >= seen.absent_until
+        suspicion = self.suspicions.get(address)
+        return suspicion is None or now >= suspicion.ejected_until
--- a/agaterail/policies/__init__.py
+++ b/agaterail/policies/__init__.py
@@ -76,13 +76,13 @@
 
     Attributes
     ----------
-    asks_homes
+    queries_homes
         The policy chooses among its own candidates, with what their homes
         know of them; others see all usable targets and ask nothing.
     """
 
     name: str
-    asks_homes = False
+    queries_homes = False
 
     def candidates(
         self, placement: Placement, excluded: Collection[str]
--- a/agaterail/policies/cost.py
+++ b/agaterail/policies/cost.py
@@ -9,10 +9,10 @@
 import attrs
 
 from agaterail.events import MembersChanged
-from agaterail.heat import Heat
+from agaterail.heat import HotKeyTracker
 from agaterail.policies import Decision, Placement, Policy
 from agaterail.policies.simple import placement_key
-from agaterail.transfers import plan
+from agaterail.transfers import plan_import
 from agaterail.util.ring import NUMBER_BYTES, Ring
 
 if TYPE_CHECKING:
@@ -24,23 +24,23 @@
     from agaterail.targets import TargetState
     from agaterail.transfers import Transfer
 
-CANDIDATES = 4
+HASH_CANDIDATES = 4
 DOMAIN_PENALTY_MS = 2.0
 # Without answers from the homes, the engine that this daemon sent the prefix to
 # last, or else the first by hash, holds it about every second time.
-UNKNOWN_HIT = 0.5
-MAX_REMEMBERED = 4096
-UNKNOWN_QUEUE_SHARE = 0.5
+DEFAULT_HIT_SHARE = 0.5
+MAX_LAST_TARGETS = 4096
+DEFAULT_QUEUE_SHARE = 0.5
 # Requests for one cold prefix that arrive at several daemons at once must meet
 # at one engine although none is told of the others yet. Each place further down
 # the order costs this part of the prefill, so that only a queue moves them.
-RANK_SHARE = 0.02
-LEAST_LOADED_PERIOD_S = 0.1
-KNOWN_FOR_S = 2.0
+RANK_PENALTY_SHARE = 0.02
+LEAST_LOADED_INTERVAL_S = 0.1
+QUEUE_TTL_S = 2.0
 
 
 @attrs.define
-class Terms:
+class CostTerms:
     """Cost of one target, in milliseconds by cause.
 
     Not frozen: a frozen one takes three times as long to make, and each
@@ -83,19 +83,19 @@
     def ranked(self, key: bytes, count: int) -> list[TargetEntry]:
         """Return the leading targets for a key, best first."""
         number = int.from_bytes(key[:NUMBER_BYTES], "little")
-        return [self.targets[place] for place in self.ring.ranked(number, count)]
+        return [self.targets[position] for position in self.ring.ranked(number, count)]
 
 
-class LeastLoaded:
+class LeastLoadedTracker:
     """The engine with the shortest queue among those heard of lately."""
 
     def __init__(self) -> None:
         self.queues: dict[str, tuple[float, float]] = {}
         self.least = ""
-        self.found_at = -LEAST_LOADED_PERIOD_S
-        self.pruned_at = -KNOWN_FOR_S
+        self.searched_at = -LEAST_LOADED_INTERVAL_S
+        self.pruned_at = -QUEUE_TTL_S
 
-    def learn(self, views: Collection[CandidateState], now: float) -> None:
+    def update(self, views: Collection[CandidateState], now: float) -> None:
         """Note the queues that homes reported."""
         for view in views:
             self.queues[view.engine] = (view.queue_ms, now)
@@ -107,9 +107,9 @@
         hundreds of engines. The home is asked before the engine is chosen, so
         that an answer from before the last search does no harm.
         """
-        if now - self.found_at >= LEAST_LOADED_PERIOD_S:
-            self.found_at = now
-            if now - self.pruned_at >= KNOWN_FOR_S:
+        if now - self.searched_at >= LEAST_LOADED_INTERVAL_S:
+            self.searched_at = now
+            if now - self.pruned_at >= QUEUE_TTL_S:
                 self._prune(now)
             self.least = min(self.queues, key=self.queues.__getitem__, default="")
         return self.least
@@ -117,23 +117,23 @@
     def _prune(self, now: float) -> None:
         self.pruned_at = now
         self.queues = {
-            address: held
-            for address, held in self.queues.items()
-            if now - held[1] < KNOWN_FOR_S
+            address: entry
+            for address, entry in self.queues.items()
+            if now - entry[1] < QUEUE_TTL_S
         }
 
 
-class LastSent:
+class LastTargets:
     """Where this daemon sent each of the latest prefixes."""
 
     def __init__(self) -> None:
         self.addresses: OrderedDict[bytes, str] = OrderedDict()
 
-    def note(self, key: bytes, address: str) -> None:
+    def record(self, key: bytes, address: str) -> None:
         """Remember the engine of a prefix."""
         self.addresses[key] = address
         self.addresses.move_to_end(key)
-        if len(self.addresses) > MAX_REMEMBERED:
+        if len(self.addresses) > MAX_LAST_TARGETS:
             self.addresses.popitem(last=False)
 
     def find(self, key: bytes) -> str:
@@ -153,22 +153,22 @@
     """
 
     name = "cost"
-    asks_homes = True
+    queries_homes = True
 
     def __init__(
         self,
         own_domain: str,
-        heat: Heat | None = None,
-        count: int = CANDIDATES,
+        hot_keys: HotKeyTracker | None = None,
+        count: int = HASH_CANDIDATES,
         seed: int | None = None,
     ) -> None:
         self.own_domain = own_domain
-        self.heat = heat or Heat()
+        self.hot_keys = hot_keys or HotKeyTracker()
         self.count = count
         self.random = random.Random(seed)
         self.rankings: dict[str, PoolRanking] = {}
-        self.least_loaded = LeastLoaded()
-        self.last_sent = LastSent()
+        self.least_loaded = LeastLoadedTracker()
+        self.last_targets = LastTargets()
 
     def candidates(
         self, placement: Placement, excluded: Collection[str]
@@ -176,11 +176,11 @@
         """Return the first targets by hash, the last used and the least loaded one."""
         key = placement_key(placement)
         ranking = self._ranking(placement.pool)
-        count = self.count + self.heat.on_request(key, placement.now)
+        count = self.count + self.hot_keys.on_request(key, placement.now)
         ranked = ranking.ranked(key, count + len(excluded))
         chosen = [entry for entry in ranked if entry.address not in excluded][:count]
-        last = ranking.by_address.get(self.last_sent.find(key))
-        for other in (last, self._spare(ranking, placement.now)):
+        last = ranking.by_address.get(self.last_targets.find(key))
+        for other in (last, self._extra_candidate(ranking, placement.now)):
             if other and other not in chosen and other.address not in excluded:
                 chosen.append(other)
         return chosen
@@ -191,18 +191,20 @@
             return None
         if placement.prefix is None:
             return self._choose_service(targets)
-        self.least_loaded.learn(placement.views.values(), placement.now)
-        fitting = [state for state in targets if self._fits(placement, state)] or targets
+        self.least_loaded.update(placement.views.values(), placement.now)
+        eligible = [
+            state for state in targets if self._is_eligible(placement, state)
+        ] or targets
         key = placement_key(placement)
-        holder = self._probable_holder(key, fitting)
+        holder = self._likely_holder(key, eligible)
         costs = [
-            self._terms(placement, state, rank, state is holder)
-            for rank, state in enumerate(fitting)
+            self._cost_terms(placement, state, rank, state is holder)
+            for rank, state in enumerate(eligible)
         ]
-        place = min(range(len(costs)), key=lambda index: costs[index].total)
-        state, terms = fitting[place], costs[place]
-        self.last_sent.note(key, state.address)
-        transfer = self._import(placement, state)
+        position = min(range(len(costs)), key=lambda index: costs[index].total)
+        state, terms = eligible[position], costs[position]
+        self.last_targets.record(key, state.address)
+        transfer = self._plan_import(placement, state)
         if transfer is not None:
             left = max(0.0, terms.prefill - transfer.saved_ms)
             terms = attrs.evolve(terms, prefill=left, transfer=transfer.transfer_ms)
@@ -214,7 +216,7 @@
         )
         return Decision(address=least.address, reason="least_in_flight")
 
-    def _fits(self, placement: Placement, state: TargetState) -> bool:
+    def _is_eligible(self, placement: Placement, state: TargetState) -> bool:
         view = placement.views.get(state.address)
         if view is None:
             return True
@@ -222,30 +224,30 @@
             return False
         return not view.weights_version or placement.pool.serves(view.weights_version)
 
-    def _probable_holder(self, key: bytes, targets: Sequence[TargetState]) -> TargetState:
-        last = self.last_sent.find(key)
+    def _likely_holder(self, key: bytes, targets: Sequence[TargetState]) -> TargetState:
+        last = self.last_targets.find(key)
         return next((state for state in targets if state.address == last), targets[0])
 
-    def _terms(
+    def _cost_terms(
         self, placement: Placement, state: TargetState, rank: int, holder: bool
-    ) -> Terms:
+    ) -> CostTerms:
         assert placement.prefix is not None
         view = placement.views.get(state.address)
         if view is None:
-            return self._unknown_terms(placement, state, rank, holder)
+            return self._cost_terms_without_view(placement, state, rank, holder)
         tokens = placement.prefix.prompt_tokens
         cached = view.depth * view.confidence * placement.pool.block_tokens
-        each = view.prefill_ms_per_token or placement.pool.prefill_ms_per_token
-        prefill = max(0.0, tokens - cached) * each
-        return Terms(
+        ms_per_token = view.prefill_ms_per_token or placement.pool.prefill_ms_per_token
+        prefill = max(0.0, tokens - cached) * ms_per_token
+        return CostTerms(
             queue=view.queue_ms,
             miss=prefill * placement.route.miss_weight,
             domain=self._domain_ms(state),
             prefill=prefill,
-            rank=prefill * RANK_SHARE * rank,
+            rank=prefill * RANK_PENALTY_SHARE * rank,
         )
 
-    def _import(self, placement: Placement, state: TargetState) -> Transfer | None:
+    def _plan_import(self, placement: Placement, state: TargetState) -> Transfer | None:
         """Plan an import for the chosen engine; imports do not sway the choice.
 
         Priced into the cost, cheap imports spread prefixes over the engines,
@@ -255,25 +257,25 @@
         if placement.kept is None or view is None:
             return None
         prefill_ms_per_token = view.prefill_ms_per_token or pool.prefill_ms_per_token
-        return plan(
+        return plan_import(
             placement.kept,
-            held=view.depth,
+            cached_blocks=view.depth,
             import_ms_per_block=pool.import_ms_per_block,
             prefill_ms_per_block=prefill_ms_per_token * pool.block_tokens,
         )
 
-    def _unknown_terms(
+    def _cost_terms_without_view(
         self, placement: Placement, state: TargetState, rank: int, holder: bool
-    ) -> Terms:
+    ) -> CostTerms:
         assert placement.prefix is not None
         whole = placement.prefix.prompt_tokens * placement.pool.prefill_ms_per_token
-        prefill = whole * (1.0 - UNKNOWN_HIT) if holder else whole
-        return Terms(
-            queue=state.in_flight * whole * UNKNOWN_QUEUE_SHARE,
+        prefill = whole * (1.0 - DEFAULT_HIT_SHARE) if holder else whole
+        return CostTerms(
+            queue=state.in_flight * whole * DEFAULT_QUEUE_SHARE,
             miss=prefill * placement.route.miss_weight,
             domain=self._domain_ms(state),
             prefill=prefill,
-            rank=prefill * RANK_SHARE * rank,
+            rank=prefill * RANK_PENALTY_SHARE * rank,
         )
 
     def _domain_ms(self, state: TargetState) -> float:
@@ -283,7 +285,7 @@
         self,
         placement: Placement,
         state: TargetState,
-        terms: Terms,
+        terms: CostTerms,
         transfer: Transfer | None,
     ) -> Decision:
         view = placement.views.get(state.address)
@@ -313,7 +315,7 @@
             ranking = self.rankings[pool.name] = PoolRanking(pool.targets)
         return ranking
 
-    def _spare(self, ranking: PoolRanking, now: float) -> TargetEntry:
+    def _extra_candidate(self, ranking: PoolRanking, now: float) -> TargetEntry:
         known = ranking.by_address.get(self.least_loaded.find(now))
         return known or self.random.choice(ranking.targets)
 
@@ -323,7 +325,7 @@
     policy = CostPolicy(app.settings.domain)
 
     def on_members(event: MembersChanged) -> None:
-        policy.heat.members = max(1, len(event.members))
+        policy.hot_keys.members = max(1, len(event.members))
 
     app.events.subscribe(MembersChanged, on_members)
     app.add_policy(policy)
--- a/agaterail/policies/simple.py
+++ b/agaterail/policies/simple.py
@@ -39,14 +39,14 @@
     name = "round_robin"
 
     def __init__(self) -> None:
-        self.turn = itertools.count()
+        self.counter = itertools.count()
 
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
         """Return the next target."""
         if not targets:
             return None
         return Decision(
-            address=targets[next(self.turn) % len(targets)].address, reason="round_robin"
+            address=targets[next(self.counter) % len(targets)].address, reason="round_robin"
         )
 
 
--- a/agaterail/prefix.py
+++ b/agaterail/prefix.py
@@ -14,7 +14,7 @@
     from agaterail.chat import Message
 
 KEY_BYTES = 16
-PERSON_SCOPE = b"agaterail-scope"
+SCOPE_HASH_PERSON = b"agaterail-scope"
 LENGTH_BYTES = 8
 
 
@@ -30,7 +30,7 @@
     @property
     def salt(self) -> str:
         """Return the hash that starts every chain of this scope, in hex."""
-        digest = blake2b(digest_size=KEY_BYTES, person=PERSON_SCOPE)
+        digest = blake2b(digest_size=KEY_BYTES, person=SCOPE_HASH_PERSON)
         for part in (self.workspace, self.model, self.adapter, self.weights_version):
             data = part.encode()
             # Without lengths, ("ab", "c") and ("a", "bc") would hash alike and
@@ -108,7 +108,7 @@
     return tuple(keys)
 
 
-def name_prefix(
+def compute_prefix(
     scope: Scope, messages: Sequence[Message], tokenizer: ByteTokenizer, block_tokens: int
 ) -> Prefix:
     """Name the blocks and nesting levels of a prompt.
--- a/agaterail/rollout.py
+++ b/agaterail/rollout.py
@@ -13,7 +13,7 @@
     from agaterail.engines import EngineState
     from agaterail.tables import Pool, Versioned
 
-MAX_LOADS = 2
+MAX_CONCURRENT_LOADS = 2
 LOAD_TIMEOUT_S = 60.0
 
 
@@ -31,7 +31,7 @@
         """Return the state that a pool's row asks for."""
         return cls(pool.model, pool.weights_version, pool.adapters, pool.role)
 
-    def met_by(self, state: EngineState) -> bool:
+    def is_met_by(self, state: EngineState) -> bool:
         """Tell whether an engine has this state."""
         if not state.healthy or state.loading:
             return False
@@ -87,7 +87,7 @@
     """
 
     state: EngineState | None = None
-    known_at: float | None = None
+    unread_since: float | None = None
     ordered: DesiredState | None = None
     ordered_at: float = 0.0
     ordered_for: Revision | None = None
@@ -99,30 +99,30 @@
         """Return the blocks that a load would drop."""
         return 0 if self.state is None else self.state.cached_blocks
 
-    def busy(self, now: float) -> bool:
+    def may_be_loading(self, now: float) -> bool:
         """Tell whether the engine loads, or may load for all that is known."""
         if self.ordered is not None or (self.state is not None and self.state.loading):
             return True
         # The former holder may have ordered a load just before this one took
         # over. An engine that cannot be read counts as loading for as long as
         # a load can take; else a third load could start beside it.
-        return self.known_at is not None and now - self.known_at < LOAD_TIMEOUT_S
+        return self.unread_since is not None and now - self.unread_since < LOAD_TIMEOUT_S
 
     def serves(self, versions: tuple[str, ...], now: float) -> bool:
         """Tell whether the engine answers with one of these weights versions."""
         state = self.state
-        if state is None or self.busy(now) or not state.healthy:
+        if state is None or self.may_be_loading(now) or not state.healthy:
             return False
         return state.weights_version in versions
 
     def verified(self, desired: DesiredState) -> bool:
         """Tell whether the engine has a state and passed the check in it."""
-        if self.state is None or not desired.met_by(self.state):
+        if self.state is None or not desired.is_met_by(self.state):
             return False
         return self.probed == (self.state.incarnation, desired)
 
 
-def take_in(view: EngineView, state: EngineState | None, now: float) -> None:
+def update_view(view: EngineView, state: EngineState | None, now: float) -> None:
     """Update a view with a state that was read back, or None when it could not be.
 
     An order is settled when its state is seen. One that is not within the time
@@ -131,17 +131,17 @@
     """
     view.state = state
     if state is not None:
-        view.known_at = None
+        view.unread_since = None
     if view.ordered is None:
         return
-    if state is not None and view.ordered.met_by(state):
+    if state is not None and view.ordered.is_met_by(state):
         view.ordered = None
     elif now - view.ordered_at > LOAD_TIMEOUT_S:
         view.ordered = None
         view.failed = view.ordered_for
 
 
-def plan(
+def plan_steps(
     pools: Iterable[Versioned[Pool]],
     engines: Mapping[str, EngineView],
     halted: frozenset[Revision],
@@ -158,18 +158,18 @@
     halted
         Revisions that a failed engine has stopped.
     """
-    loads = sum(view.busy(now) for view in engines.values())
+    loads = sum(view.may_be_loading(now) for view in engines.values())
     steps: list[Step] = []
-    for held in sorted(pools, key=lambda item: item.version):
-        revision = Revision(held.row.name, held.version)
-        views = {entry.address: engines[entry.address] for entry in held.row.targets}
+    for versioned in sorted(pools, key=lambda item: item.version):
+        revision = Revision(versioned.row.name, versioned.version)
+        views = {entry.address: engines[entry.address] for entry in versioned.row.targets}
         if revision in halted:
-            wanted = _fallback_steps(held.row, revision, views, now)
+            wanted = _fallback_steps(versioned.row, revision, views, now)
         else:
-            wanted = _pool_steps(held.row, revision, views, now)
+            wanted = _pool_steps(versioned.row, revision, views, now)
         for step in wanted:
             if step.kind is StepKind.ORDER:
-                if loads >= MAX_LOADS:
+                if loads >= MAX_CONCURRENT_LOADS:
                     continue
                 loads += 1
             steps.append(step)
@@ -189,7 +189,7 @@
         for address, view in views.items()
         if _needs_probe(view, desired, now)
     ]
-    for address in _orders(pool, desired, views, now):
+    for address in _addresses_to_order(pool, desired, views, now):
         steps.append(
             Step(kind=StepKind.ORDER, revision=revision, address=address, desired=desired)
         )
@@ -208,33 +208,33 @@
         Step(kind=StepKind.ORDER, revision=revision, address=address, desired=fallback)
         for address, view in views.items()
         if view.state is not None
-        and not view.busy(now)
+        and not view.may_be_loading(now)
         and view.state.weights_version == pool.weights_version
         and not view.verified(desired)
     ]
 
 
 def _needs_probe(view: EngineView, desired: DesiredState, now: float) -> bool:
-    if view.state is None or view.busy(now) or not desired.met_by(view.state):
+    if view.state is None or view.may_be_loading(now) or not desired.is_met_by(view.state):
         return False
     return not view.verified(desired)
 
 
-def _orders(
+def _addresses_to_order(
     pool: Pool, desired: DesiredState, views: Mapping[str, EngineView], now: float
 ) -> list[str]:
     if any(_needs_probe(view, desired, now) for view in views.values()):
         return []
-    checked = any(view.verified(desired) for view in views.values())
-    if not checked and any(view.busy(now) for view in views.values()):
+    any_verified = any(view.verified(desired) for view in views.values())
+    if not any_verified and any(view.may_be_loading(now) for view in views.values()):
         # Until one engine has passed the check, a second one is not put at
         # risk: a bad version would take them down together.
         return []
     versions = (pool.weights_version, *pool.also_serve)
     serving = sum(view.serves(versions, now) for view in views.values())
     chosen: list[str] = []
-    for address in _order_of_engines(views, desired, now):
-        if len(chosen) == (MAX_LOADS if checked else 1):
+    for address in _engines_to_load(views, desired, now):
+        if len(chosen) == (MAX_CONCURRENT_LOADS if any_verified else 1):
             break
         if views[address].serves(versions, now):
             if serving <= pool.serving_min:
@@ -244,14 +244,16 @@
     return chosen
 
 
-def _order_of_engines(
+def _engines_to_load(
     views: Mapping[str, EngineView], desired: DesiredState, now: float
 ) -> list[str]:
     # A load drops the engine's cache: engines with few blocks go first, so
     # that the long prefixes of the others stay warm while the check runs.
-    waiting = [
+    outdated = [
         address
         for address, view in views.items()
-        if view.state is not None and not view.busy(now) and not desired.met_by(view.state)
+        if view.state is not None
+        and not view.may_be_loading(now)
+        and not desired.is_met_by(view.state)
     ]
-    return sorted(waiting, key=lambda address: (views[address].cached_blocks, address))
+    return sorted(outdated, key=lambda address: (views[address].cached_blocks, address))
--- a/agaterail/transfers.py
+++ b/agaterail/transfers.py
@@ -19,13 +19,13 @@
 MAX_IMPORTS_PER_ENGINE = 2
 # Waiting for an import that fails delays the answer by the whole wait. The
 # pause bounds how often that can happen with a source that is down.
-FAILURE_PAUSE_S = 5.0
+SOURCE_BACKOFF_S = 5.0
 MIN_EXPORT_BLOCKS = 2
 MIN_EXPORT_USES = 2
 MIN_EXPORT_AGE_S = 0.5
 MAX_EXPORT_AGE_S = 20.0
-KEPT_FOR_S = 120.0
-MAX_USES = 4096
+REEXPORT_INTERVAL_S = 120.0
+MAX_TRACKED_PREFIXES = 4096
 
 
 @attrs.frozen
@@ -60,8 +60,8 @@
     return min(len(prefix.keys), prefix.level_blocks[-1] if prefix.level_blocks else 0)
 
 
-def plan(
-    source: Source, held: int, import_ms_per_block: float, prefill_ms_per_block: float
+def plan_import(
+    source: Source, cached_blocks: int, import_ms_per_block: float, prefill_ms_per_block: float
 ) -> Transfer | None:
     """Return what to copy, or None when computing it again is about as cheap.
 
@@ -72,14 +72,14 @@
     """
     if import_ms_per_block <= 0:
         return None
-    blocks = source.depth - held
+    blocks = source.depth - cached_blocks
     saved_ms = blocks * prefill_ms_per_block
     transfer_ms = blocks * import_ms_per_block
     if saved_ms - transfer_ms < MIN_SAVED_MS:
         return None
     return Transfer(
         source=source.address,
-        start=held,
+        start=cached_blocks,
         end=source.depth,
         transfer_ms=transfer_ms,
         saved_ms=saved_ms,
@@ -89,18 +89,18 @@
 class ImportLimits:
     """Bounds the imports of each engine and leaves out sources that failed."""
 
-    def __init__(self, most: int = MAX_IMPORTS_PER_ENGINE) -> None:
-        self.most = most
+    def __init__(self, limit: int = MAX_IMPORTS_PER_ENGINE) -> None:
+        self.limit = limit
         self.running: dict[str, int] = {}
-        self.paused_until: dict[str, float] = {}
+        self.backoff_until: dict[str, float] = {}
 
     def usable(self, source: str, now: float) -> bool:
         """Tell whether a source may be planned with."""
-        return self.paused_until.get(source, 0.0) <= now
+        return self.backoff_until.get(source, 0.0) <= now
 
     def begin(self, engine: str, source: str, now: float) -> bool:
         """Count an import in, or refuse it."""
-        if not self.usable(source, now) or self.running.get(engine, 0) >= self.most:
+        if not self.usable(source, now) or self.running.get(engine, 0) >= self.limit:
             return False
         self.running[engine] = self.running.get(engine, 0) + 1
         return True
@@ -113,9 +113,9 @@
         else:
             self.running.pop(engine, None)
         if copied:
-            self.paused_until.pop(source, None)
+            self.backoff_until.pop(source, None)
         else:
-            self.paused_until[source] = now + FAILURE_PAUSE_S
+            self.backoff_until[source] = now + SOURCE_BACKOFF_S
 
 
 @attrs.define
@@ -126,7 +126,7 @@
     keys: tuple[bytes, ...]
     uses: int = 0
     used_at: float = 0.0
-    kept_until: float = 0.0
+    exported_until: float = 0.0
 
 
 class ExportQueue:
@@ -135,11 +135,11 @@
     The one whose last use is longest ago is the next to be evicted.
     """
 
-    def __init__(self, most: int = MAX_USES) -> None:
-        self.most = most
+    def __init__(self, limit: int = MAX_TRACKED_PREFIXES) -> None:
+        self.limit = limit
         self.uses: OrderedDict[bytes, PrefixUse] = OrderedDict()
 
-    def note(self, engine: str, keys: tuple[bytes, ...], now: float) -> None:
+    def record_use(self, engine: str, keys: tuple[bytes, ...], now: float) -> None:
         """Count a use of a shared prefix at an engine."""
         if len(keys) < MIN_EXPORT_BLOCKS:
             return
@@ -148,7 +148,7 @@
         use.uses += 1
         use.used_at = now
         self.uses.move_to_end(keys[-1])
-        if len(self.uses) > self.most:
+        if len(self.uses) > self.limit:
             self.uses.popitem(last=False)
 
     def due(self, now: float) -> list[PrefixUse]:
@@ -156,11 +156,11 @@
         found: dict[str, PrefixUse] = {}
         for use in self.uses.values():
             age = now - use.used_at
-            fitting = MIN_EXPORT_AGE_S <= age <= MAX_EXPORT_AGE_S
-            if fitting and use.uses >= MIN_EXPORT_USES and now >= use.kept_until:
+            in_window = MIN_EXPORT_AGE_S <= age <= MAX_EXPORT_AGE_S
+            if in_window and use.uses >= MIN_EXPORT_USES and now >= use.exported_until:
                 found.setdefault(use.engine, use)
         return list(found.values())
 
-    def mark_kept(self, use: PrefixUse, now: float) -> None:
+    def mark_exported(self, use: PrefixUse, now: float) -> None:
         """Do not export a prefix again for a while."""
-        use.kept_until = now + KEPT_FOR_S
+        use.exported_until = now + REEXPORT_INTERVAL_S
--- a/tests/test_agaterail/test_admission.py
+++ b/tests/test_agaterail/test_admission.py
@@ -4,7 +4,7 @@
 import unittest
 
 from agaterail import admission
-from agaterail.admission import FairGate, Load
+from agaterail.admission import AdmissionRequest, FairGate
 
 
 class FairGateTest(unittest.TestCase):
@@ -43,46 +43,46 @@
         for priority in (0, 5, 9):
             gate = FairGate()
             gate.admit("others", 400.0, 1000.0, 1.0)
-            counts.append(self.fill(gate, "w", weight=admission.weight_of(priority)))
+            counts.append(self.fill(gate, "w", weight=admission.priority_weight(priority)))
         self.assertEqual(counts, sorted(counts))
         self.assertGreater(counts[2], counts[0])
 
-    def test_nothing_is_left_behind(self):
+    def test_released_requests_leave_no_residue(self):
         gate, rng, held = FairGate(), random.Random(3), []
         for _ in range(2000):
             if held and rng.random() < 0.5:
-                gate.leave(*held.pop(rng.randrange(len(held))))
+                gate.release(*held.pop(rng.randrange(len(held))))
             else:
                 item = (f"w{rng.randrange(5)}", rng.uniform(0.1, 99.0))
                 if gate.admit(*item, 1000.0, 1.0):
                     held.append(item)
         for item in held:
-            gate.leave(*item)
-        self.assertAlmostEqual(gate.total, 0.0, places=6)
-        self.assertEqual(dict(gate.held), {})
+            gate.release(*item)
+        self.assertAlmostEqual(gate.total_ms, 0.0, places=6)
+        self.assertEqual(dict(gate.outstanding_ms), {})
 
 
-class MissShareTest(unittest.TestCase):
-    def test_silent_homes_do_not_make_every_prompt_a_cold_one(self):
+class MissRatioTest(unittest.TestCase):
+    def test_silent_homes_do_not_make_every_prompt_count_as_cold(self):
         # Nine tenths of the prompts are cached. Then the homes fall silent and
         # hits are not known: counted as cold, each request would weigh ten
         # times what it costs and most would be refused.
-        share = admission.MissShare()
-        self.assertEqual(share.value, admission.FIRST_SHARE)
+        share = admission.MissRatio()
+        self.assertEqual(share.value, admission.INITIAL_MISS_RATIO)
         for _ in range(100):
-            share.learn(100, 1000)
+            share.update(100, 1000)
         self.assertAlmostEqual(share.value, 0.1, delta=0.01)
 
 
-class InTimeTest(unittest.TestCase):
-    def test_what_cannot_make_its_deadline_is_refused_lowest_priority_first(self):
+class CanMeetDeadlineTest(unittest.TestCase):
+    def test_requests_that_miss_their_deadline_are_refused_lowest_priority_first(self):
         def load(priority, expected_ms):
-            return Load("w", priority, 1.0, expected_ms, 1000.0)
+            return AdmissionRequest("w", priority, 1.0, expected_ms, 1000.0)
 
-        self.assertFalse(admission.in_time(load(9, 1001.0)))
-        self.assertTrue(admission.in_time(load(9, 990.0)))
-        self.assertFalse(admission.in_time(load(0, 600.0)))
-        self.assertTrue(admission.in_time(load(0, None)))
+        self.assertFalse(admission.can_meet_deadline(load(9, 1001.0)))
+        self.assertTrue(admission.can_meet_deadline(load(9, 990.0)))
+        self.assertFalse(admission.can_meet_deadline(load(0, 600.0)))
+        self.assertTrue(admission.can_meet_deadline(load(0, None)))
 
 
 class CapacityTest(unittest.TestCase):
@@ -92,10 +92,12 @@
         # were refused, "cannot answer before the deadline", although all of
         # them have their first token within a second.
         gate = FairGate()
-        capacity_ms = admission.capacity_of(targets=5, members=3, deadline_ms=30_000)
+        capacity_ms = admission.queue_capacity_ms(targets=5, members=3, deadline_ms=30_000)
         for _ in range(8):
-            self.assertTrue(gate.admit("one", 103.0, capacity_ms, admission.weight_of(5)))
+            self.assertTrue(
+                gate.admit("one", 103.0, capacity_ms, admission.priority_weight(5))
+            )
 
     def test_a_short_deadline_keeps_the_queue_short(self):
-        self.assertEqual(admission.capacity_of(4, 1, 3_000), 4 * admission.QUEUE_MS)
-        self.assertEqual(admission.capacity_of(4, 1, 100), 4 * admission.QUEUE_MS)
+        self.assertEqual(admission.queue_capacity_ms(4, 1, 3_000), 4 * admission.MIN_QUEUE_MS)
+        self.assertEqual(admission.queue_capacity_ms(4, 1, 100), 4 * admission.MIN_QUEUE_MS)
--- a/tests/test_agaterail/test_claims.py
+++ b/tests/test_agaterail/test_claims.py
@@ -23,9 +23,9 @@
 
 KEYS = [bytes([number]) * claims.KEY_BYTES for number in range(2)]
 DAEMONS = 3
-SELDOM = st.integers(0, 9).map(lambda number: number == 7)
+RARELY = st.integers(0, 9).map(lambda number: number == 7)
 MOSTLY = st.integers(0, 4).map(lambda number: number < 4)
-FATES = ["ok", "ok", "ok", "lost_after", "lost_before", "late", "down", "slow"]
+APPEND_RESULTS = ["ok", "ok", "ok", "lost_after", "lost_before", "late", "down", "slow"]
 WON, IN_PROGRESS = VerdictKind.WON, VerdictKind.IN_PROGRESS
 FINISHED, UNAVAILABLE = VerdictKind.FINISHED, VerdictKind.UNAVAILABLE
 
@@ -34,7 +34,7 @@
     return Claim(key, claimer, attempt)
 
 
-def done(attempt, outcome=ClaimOutcome.COMPLETED, key=KEYS[0], **fields):
+def make_finish(attempt, outcome=ClaimOutcome.COMPLETED, key=KEYS[0], **fields):
     return Finish(key=key, attempt=attempt, outcome=outcome, **fields)
 
 
@@ -92,59 +92,59 @@
         both=st.booleans(),
         at_once=st.booleans(),
     )
-    def ask(self, key, daemon, owner, both, at_once):
+    def submit_claim(self, key, daemon, owner, both, at_once):
         call = Call(key, daemon, self.incarnations[daemon], f"x{len(self.all_calls)}")
         self.all_calls.append(call)
         self.by_attempt[call.ticket.claim.attempt] = call
         for number in {owner, daemon} if both else {owner}:
             self.queues[number].submit(call.ticket.claim)
         if at_once:
-            self.turn(owner, "ok")
+            self.append_and_read(owner, "ok")
         return call
 
     @rule(
         daemon=st.integers(0, DAEMONS - 1),
-        fate=st.sampled_from(
+        result=st.sampled_from(
             ["ok", "ok", "lost_after", "lost_before", "late", "down", "slow"]
         ),
-        heard=st.booleans(),
+        delivered=st.booleans(),
     )
-    def append(self, daemon, fate, heard):
+    def append(self, daemon, result, delivered):
         queue = self.queues[daemon]
         batch = queue.next_batch()
         if batch is None:
             return
-        if fate in ("ok", "lost_after"):
+        if result in ("ok", "lost_after"):
             self.log.records.append(batch)
-        if fate == "late":
+        if result == "late":
             self.delayed.append(batch)
-        if fate == "ok":
+        if result == "ok":
             queue.on_appended()
             return
         kinds = {"down": LogErrorKind.DOWN, "slow": LogErrorKind.THROTTLED}
-        kind = kinds.get(fate, LogErrorKind.UNANSWERED)
-        self.deliver(queue.on_append_failed(kind), heard)
+        kind = kinds.get(result, LogErrorKind.UNANSWERED)
+        self.deliver(queue.on_append_failed(kind), delivered)
 
     @rule(index=st.integers(0, 5))
     def late_append_lands(self, index):
         if self.delayed:
             self.log.records.append(self.delayed.pop(index % len(self.delayed)))
 
-    @rule(daemon=st.integers(0, DAEMONS - 1), limit=st.integers(1, 4), heard=MOSTLY)
-    def read(self, daemon, limit, heard):
+    @rule(daemon=st.integers(0, DAEMONS - 1), limit=st.integers(1, 4), delivered=MOSTLY)
+    def read(self, daemon, limit, delivered):
         queue = self.queues[daemon]
         found = self.log.read(queue.partition.through + 1, limit)
-        self.deliver(queue.on_records(found), heard)
+        self.deliver(queue.on_records(found), delivered)
 
-    def deliver(self, verdicts, heard):
+    def deliver(self, verdicts, delivered):
         for verdict in verdicts:
             call = self.by_attempt[verdict.attempt]
-            if not heard or call.incarnation != self.incarnations[call.daemon]:
+            if not delivered or call.incarnation != self.incarnations[call.daemon]:
                 continue
             if call.ticket.settle(verdict) and verdict.kind is UNAVAILABLE:
-                self.give_back(call)
+                self.release_claim(call)
 
-    def give_back(self, call):
+    def release_claim(self, call):
         call.answer = "not_run"
         item = call.ticket.claim
         self.queues[call.daemon].abandon(item.attempt)
@@ -153,17 +153,17 @@
     @rule(call=calls)
     def give_up(self, call):
         if self.alive(call) and call.ticket.abandon():
-            self.give_back(call)
+            self.release_claim(call)
 
-    @rule(call=calls, acts=st.booleans())
-    def run(self, call, acts):
+    @rule(call=calls, reaches_target=st.booleans())
+    def run(self, call, reaches_target):
         verdict = call.ticket.verdict
         if not self.alive(call) or verdict is None or verdict.kind is not WON or call.answer:
             return
         if call.ran:
             return
-        if not acts:
-            self.give_back(call)
+        if not reaches_target:
+            self.release_claim(call)
             return
         call.ran = True
         self.journal.append(call.ticket.claim)
@@ -173,25 +173,25 @@
         if self.alive(call) and call.ran and not call.answer:
             call.answer = outcome.value
             item = call.ticket.claim
-            self.queues[call.daemon].finish(done(item.attempt, outcome, item.key))
+            self.queues[call.daemon].finish(make_finish(item.attempt, outcome, item.key))
 
-    @rule(daemon=st.integers(0, DAEMONS - 1), fate=st.sampled_from(FATES))
-    def turn(self, daemon, fate):
-        self.append(daemon, fate, True)
+    @rule(daemon=st.integers(0, DAEMONS - 1), result=st.sampled_from(APPEND_RESULTS))
+    def append_and_read(self, daemon, result):
+        self.append(daemon, result, True)
         self.read(daemon, 1000, True)
         for call in self.all_calls:
             self.run(call, True)
 
-    @rule(daemon=st.integers(0, DAEMONS - 1), seldom=SELDOM)
-    def crash(self, daemon, seldom):
-        if not seldom:
+    @rule(daemon=st.integers(0, DAEMONS - 1), rarely=RARELY)
+    def crash(self, daemon, rarely):
+        if not rarely:
             return
         self.queues[daemon] = PartitionQueue()
         self.incarnations[daemon] += 1
 
-    @rule(count=st.integers(1, 3), seldom=SELDOM)
-    def expire(self, count, seldom):
-        if not seldom:
+    @rule(count=st.integers(1, 3), rarely=RARELY)
+    def expire(self, count, rarely):
+        if not rarely:
             return
         before = min(len(self.log.records), self.log.first + count)
         for number in range(self.log.first, before):
@@ -232,7 +232,7 @@
         assert len(keys) == len(set(keys)), self.journal
 
     @invariant()
-    def not_run_is_true(self):
+    def not_run_means_never_run(self):
         ran = {item.attempt for item in self.journal}
         for call in self.all_calls:
             assert call.answer != "not_run" or call.ticket.claim.attempt not in ran
@@ -253,14 +253,14 @@
     settings = hypothesis.settings(max_examples=60, stateful_step_count=40)
 
 
-class NaiveClaims:
+class ReferenceClaims:
     """One daemon with a perfect log."""
 
     def __init__(self):
         self.held = {}
         self.finished = {}
 
-    def ask(self, key, attempt):
+    def submit_claim(self, key, attempt):
         if key not in self.held:
             self.held[key] = attempt
             return WON
@@ -286,23 +286,27 @@
         )
     )
     def test_three_daemons_answer_like_one_with_a_perfect_log(self, steps):
-        log, queues, naive = Log(), [PartitionQueue() for _ in range(DAEMONS)], NaiveClaims()
+        log, queues, reference = (
+            Log(),
+            [PartitionQueue() for _ in range(DAEMONS)],
+            ReferenceClaims(),
+        )
         for number, (key, daemon, end) in enumerate(steps):
             attempt, queue = f"x{number}", queues[daemon]
             queue.submit(claim(attempt, key))
-            verdicts = self.pump(log, queue)
-            wanted = naive.ask(key, attempt)
+            verdicts = self.append_and_read(log, queue)
+            wanted = reference.submit_claim(key, attempt)
             self.assertEqual([item.kind for item in verdicts], [wanted])
             if wanted is not WON or end == "leave":
                 continue
-            naive.end(key, attempt, end == "release")
+            reference.end(key, attempt, end == "release")
             if end == "release":
                 queue.release(Release(key, attempt))
             else:
-                queue.finish(done(attempt, key=key))
-            self.pump(log, queue)
+                queue.finish(make_finish(attempt, key=key))
+            self.append_and_read(log, queue)
 
-    def pump(self, log, queue):
+    def append_and_read(self, log, queue):
         log.records.append(queue.next_batch())
         queue.on_appended()
         return queue.on_records(log.read(queue.partition.through + 1, 1000))
@@ -318,7 +322,7 @@
         self.assertEqual([item.kind for item in verdicts[0]], [WON, IN_PROGRESS])
         self.assertEqual(verdicts[0][1].holding, "x")
 
-    def test_a_claim_that_lands_after_its_release_does_not_kill_the_key(self):
+    def test_a_claim_appended_after_its_release_does_not_block_the_key(self):
         # An append hangs, the claimer gives up and releases, then the append
         # lands. If it won, the key would be held by nobody that runs it, and
         # every repeat would be told "in progress".
@@ -345,23 +349,23 @@
         partition, _ = self.fold(
             ClaimBatch(claims=(claim("x"),)),
             ClaimBatch(releases=(Release(KEYS[0], "y"),)),
-            ClaimBatch(finishes=(done("x"),)),
+            ClaimBatch(finishes=(make_finish("x"),)),
             ClaimBatch(releases=(Release(KEYS[0], "x"),)),
         )
-        self.assertEqual(partition.entries[KEYS[0]].finish, done("x"))
+        self.assertEqual(partition.entries[KEYS[0]].finish, make_finish("x"))
 
     def test_keys_and_bodies_are_bounded(self):
         partition = Partition(max_keys=10)
         body = b"b" * claims.MAX_BODY_BYTES
         for number in range(30):
             key = bytes([number]) * claims.KEY_BYTES
-            item = done(f"x{number}", key=key, body=body)
+            item = make_finish(f"x{number}", key=key, body=body)
             partition.fold(2 * number, ClaimBatch(claims=(Claim(key, "a", f"x{number}"),)))
             partition.fold(2 * number + 1, ClaimBatch(finishes=(item,)))
         self.assertEqual(len(partition.entries), 10)
-        self.assertLessEqual(partition.body_bytes, claims.MAX_BODIES_BYTES)
+        self.assertLessEqual(partition.body_bytes, claims.MAX_TOTAL_BODY_BYTES)
 
-    def test_a_reader_that_missed_records_starts_anew(self):
+    def test_a_reader_that_missed_records_resets(self):
         # The log expired records that this daemon had not read. It cannot know
         # what they released, so it must judge like a daemon that starts now.
         queue = PartitionQueue()
--- a/tests/test_agaterail/test_controllers/test_homes.py
+++ b/tests/test_agaterail/test_controllers/test_homes.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Success
 
 from agaterail.application import Application
-from agaterail.candidates import shorten
+from agaterail.candidates import sample_prefix
 from agaterail.engines import CacheContents, CacheEvent, CacheEventKind, CacheEvents
 from agaterail.events import MembersChanged, TablesChanged
 from agaterail.peers import Peers
@@ -107,15 +107,17 @@
         )
         entries = app.policies["cost"].candidates(placement, ())
         targets = [app.targets.state_of(entry) for entry in entries]
-        views = app.candidates.ask([state.address for state in targets], shorten(prefix))
+        views = app.candidates.query(
+            [state.address for state in targets], sample_prefix(prefix)
+        )
         placement = attrs.evolve(placement, views=views)
         return app.policies["cost"].choose(placement, targets)
 
     def dispatch(self, app, prefix, number):
         decision = self.choose(app, prefix)
         missing = prefix.prompt_tokens - decision.hit_blocks * self.pool.block_tokens
-        app.candidates.tell_dispatch(
-            decision.address, f"r{number}", missing, shorten(prefix).keys
+        app.candidates.notify_dispatch(
+            decision.address, f"r{number}", missing, sample_prefix(prefix).keys
         )
         return decision.address
 
@@ -162,10 +164,10 @@
     def test_dispatches_of_all_daemons_count_at_the_home(self):
         engine = ENGINES[0]
         for number, app in enumerate(self.region.apps):
-            app.candidates.tell_dispatch(engine, f"r{number}", 100, b"")
+            app.candidates.notify_dispatch(engine, f"r{number}", 100, b"")
         load = self.region.home_of(engine).controllers["homes"].followed[engine].load
         self.assertEqual(load.queue_ms(self.region.timers.now()), 300.0)
-        self.region.apps[0].candidates.tell_finish(engine, "r0", ran=False)
+        self.region.apps[0].candidates.notify_finish(engine, "r0", ran=False)
         self.assertEqual(load.queue_ms(self.region.timers.now()), 200.0)
 
     def test_a_dead_home_leaves_the_hash_order(self):
@@ -179,7 +181,7 @@
         for number in range(10):
             decision = self.region.choose(asking, prefix_of(number))
             self.assertIn(decision.address, ENGINES)
-        views = asking.candidates.ask(ENGINES, shorten(prefix_of(1)))
+        views = asking.candidates.query(ENGINES, sample_prefix(prefix_of(1)))
         self.assertEqual(set(views), set(ENGINES) - lost)
 
     def test_all_homes_silent_gives_one_engine_per_prefix(self):
@@ -197,7 +199,7 @@
         sent = []
         for _ in range(100):
             self.region.network.messages = 0
-            asking.candidates.ask(engines, shorten(prefix_of(1)))
+            asking.candidates.query(engines, sample_prefix(prefix_of(1)))
             sent.append(self.region.network.messages)
             self.region.timers.advance(0.02)
         self.assertLess(sum(sent), 25)
@@ -214,7 +216,7 @@
         self.region.set_members(left, DAEMONS[1:])
         self.region.timers.advance(0.5)
         self.assertEqual(set().union(*map(self.region.followed, left)), set(ENGINES))
-        views = left[0].candidates.ask(sorted(lost), shorten(prefix))
+        views = left[0].candidates.query(sorted(lost), sample_prefix(prefix))
         self.assertEqual({view.depth for view in views.values()}, {BLOCKS})
 
     def test_an_engine_that_came_back_empty_is_not_relied_on(self):
@@ -224,13 +226,13 @@
         fake, prefix = self.region.engines[engine], prefix_of(4)
         fake.store(prefix)
         app = self.region.apps[1]
-        app.candidates.tell_dispatch(engine, "r1", 5000, shorten(prefix_of(5)).keys)
+        app.candidates.notify_dispatch(engine, "r1", 5000, sample_prefix(prefix_of(5)).keys)
         self.region.timers.advance(0.5)
         fake.incarnation, fake.stored = "b", []
         fake.report = load_report(incarnation="b")
         self.region.timers.advance(0.5)
         for lost in (prefix, prefix_of(5)):
-            view = app.candidates.ask([engine], shorten(lost))[engine]
+            view = app.candidates.query([engine], sample_prefix(lost))[engine]
             self.assertEqual((view.depth, view.queue_ms), (0, 0.0))
 
     def test_a_lagging_report_of_the_dead_engine_does_not_bring_it_back(self):
@@ -241,7 +243,7 @@
         self.region.timers.advance(0.5)
         fake.report = load_report(incarnation="a", waiting_prefill_tokens=9000)
         self.region.timers.advance(0.5)
-        view = self.region.apps[0].candidates.ask([engine], shorten(prefix))[engine]
+        view = self.region.apps[0].candidates.query([engine], sample_prefix(prefix))[engine]
         self.assertEqual((view.depth, view.queue_ms), (BLOCKS, 0.0))
 
     def test_contents_are_not_read_after_every_lost_event(self):
--- a/tests/test_agaterail/test_filters/test_weights.py
+++ b/tests/test_agaterail/test_filters/test_weights.py
@@ -6,7 +6,7 @@
 from agaterail import codec
 from agaterail.chat import Message
 from agaterail.logstore.memory import MemoryLogStore
-from agaterail.prefix import ByteTokenizer, Scope, name_prefix
+from agaterail.prefix import ByteTokenizer, Scope, compute_prefix
 from agaterail.records import TABLES_STREAM, TablesRecord
 from standins.engine import EngineConfig, EngineStandIn
 from tests.support import LocalDaemon, chat_route, edit, engine_pool, put, wait_until
@@ -24,7 +24,7 @@
 
 def keys_of(version):
     scope = Scope("ws", "atlas", "", version)
-    return name_prefix(scope, [Message("user", PROMPT)], ByteTokenizer(4), 10).keys
+    return compute_prefix(scope, [Message("user", PROMPT)], ByteTokenizer(4), 10).keys
 
 
 class TwoVersionsTest(unittest.TestCase):
--- a/tests/test_agaterail/test_index.py
+++ b/tests/test_agaterail/test_index.py
@@ -15,7 +15,7 @@
 
 from agaterail.engines import CacheContents, CacheEvent, CacheEventKind, CacheEvents
 from agaterail.index import (
-    LAST_GENERATION,
+    MAX_GENERATION,
     PREDICTED_CONFIDENCE,
     EngineIndex,
     KeyTable,
@@ -101,16 +101,16 @@
         self.assertLess(self.depth(1).confidence, 1.0)
         self.assertEqual(self.index.lost_events, 3)
 
-    def test_suspicion_survives_the_wrap_of_the_gap_number(self):
+    def test_entries_stay_suspect_when_the_generation_wraps(self):
         # After 255 gaps the number of the gap is used again. An entry from
         # before the first gap would then count as trusted although its
         # eviction may have been lost 255 times.
         self.index.on_events(batch(stored(1, 1)), 1.0, 1.0)
-        for number in range(2, 2 * LAST_GENERATION + 4):
+        for number in range(2, 2 * MAX_GENERATION + 4):
             self.index.on_events(CacheEvents("a", (), number), 1.0, 1.0)
             self.assertLess(self.depth(1).confidence, 1.0, number)
 
-    def test_a_late_answer_of_a_dead_engine_brings_nothing_back(self):
+    def test_a_late_answer_of_a_past_incarnation_is_ignored(self):
         # The engine crashes and comes back empty. A long poll that was answered
         # before the crash is handled after the first answer of the new one.
         self.index.on_events(batch(stored(1, 1)), 1.0, 1.0)
@@ -121,7 +121,7 @@
         self.assertEqual(self.depth(1).depth, 0)
         self.assertEqual(self.index.incarnation, "b")
 
-    def test_a_late_first_answer_of_a_dead_engine_does_not_displace_the_live_one(self):
+    def test_a_late_first_answer_of_a_past_incarnation_does_not_replace_the_live_one(self):
         # Found by the machine below: a question is asked, the engine crashes
         # before this host has heard of it, the next question is answered by the
         # new one, and only then the first answer arrives. Its incarnation was
@@ -131,7 +131,7 @@
         index.on_events(batch(stored(1, 5), incarnation="a"), 0.5, 3.0)
         self.assertEqual(index.incarnation, "b")
 
-    def test_numbers_of_the_old_incarnation_do_not_hide_events_of_the_new(self):
+    def test_sequence_numbers_of_the_old_incarnation_do_not_hide_events_of_the_new(self):
         # The question "after 500" reaches the engine just after its restart; it
         # answers "last is 500". Taking that number would skip its events 1 to
         # 500, and evictions among them would leave false entries.
@@ -177,7 +177,7 @@
         self.assertLess(old, 0.2)
         self.assertGreater(new, 0.8)
 
-    def test_lost_evictions_do_not_grow_the_table_for_ever(self):
+    def test_lost_evictions_do_not_grow_the_table_forever(self):
         # Every eviction is lost and the contents cannot be read: entries that
         # are older than twice the lifetime of a block go by themselves.
         self.index.set_capacity(10)
@@ -188,29 +188,29 @@
         self.assertLess(len(self.index.table), 20)
 
 
-class NaiveIndex:
+class ReferenceIndex:
     """The rules with a dict and no thought for memory."""
 
     def __init__(self):
-        self.sure, self.suspect = set(), set()
-        self.incarnation, self.learnt_at, self.sequence = "", 0.0, 0
+        self.trusted, self.suspect = set(), set()
+        self.incarnation, self.incarnation_known_at, self.sequence = "", 0.0, 0
 
-    def believes(self, answer, asked_at):
-        return answer.incarnation == self.incarnation or asked_at >= self.learnt_at
+    def accepts(self, answer, asked_at):
+        return answer.incarnation == self.incarnation or asked_at >= self.incarnation_known_at
 
     def reset(self, incarnation, now):
         if incarnation != self.incarnation:
-            self.incarnation, self.sequence, self.learnt_at = incarnation, 0, now
-            self.sure, self.suspect = set(), set()
+            self.incarnation, self.sequence, self.incarnation_known_at = incarnation, 0, now
+            self.trusted, self.suspect = set(), set()
             return True
         return False
 
     def gap(self):
-        self.suspect |= self.sure
-        self.sure = set()
+        self.suspect |= self.trusted
+        self.trusted = set()
 
     def events(self, answer, asked_at, now):
-        if not self.believes(answer, asked_at) or self.reset(answer.incarnation, now):
+        if not self.accepts(answer, asked_at) or self.reset(answer.incarnation, now):
             return
         for event in sorted(answer.events, key=lambda item: item.sequence):
             if event.sequence <= self.sequence:
@@ -220,22 +220,22 @@
             self.sequence = event.sequence
             self.suspect -= set(event.keys)
             if event.kind is STORED:
-                self.sure |= set(event.keys)
+                self.trusted |= set(event.keys)
             elif event.kind is EVICTED:
-                self.sure -= set(event.keys)
+                self.trusted -= set(event.keys)
             else:
-                self.sure, self.suspect = set(), set()
+                self.trusted, self.suspect = set(), set()
         if answer.last_sequence > self.sequence:
             self.gap()
             self.sequence = answer.last_sequence
 
     def contents(self, answer, asked_at, now):
-        if not self.believes(answer, asked_at):
+        if not self.accepts(answer, asked_at):
             return
         self.reset(answer.incarnation, now)
         if answer.sequence >= self.sequence:
             self.sequence = answer.sequence
-            self.sure, self.suspect = set(answer.keys), set()
+            self.trusted, self.suspect = set(answer.keys), set()
 
 
 class EngineCache:
@@ -263,7 +263,7 @@
 
     def __init__(self):
         super().__init__()
-        self.index, self.naive = EngineIndex(0.0), NaiveIndex()
+        self.index, self.reference = EngineIndex(0.0), ReferenceIndex()
         self.answers, self.now = [], 0.0
         self.used = set()
 
@@ -318,20 +318,20 @@
         self.now += 0.1
         if isinstance(answer, CacheEvents):
             self.index.on_events(answer, asked_at, self.now)
-            self.naive.events(answer, asked_at, self.now)
+            self.reference.events(answer, asked_at, self.now)
         else:
             self.index.on_contents(answer, asked_at, self.now)
-            self.naive.contents(answer, asked_at, self.now)
+            self.reference.contents(answer, asked_at, self.now)
 
     @invariant()
-    def agrees_with_the_naive_index(self):
+    def agrees_with_the_reference_index(self):
         for key in self.used:
             confidence = self.index.confidence(short_key(key), self.now)
-            expected = key in self.naive.sure, key in self.naive.suspect
-            self.assertion((confidence == 1.0, 0.0 < confidence < 1.0) == expected)
+            expected = key in self.reference.trusted, key in self.reference.suspect
+            self.check((confidence == 1.0, 0.0 < confidence < 1.0) == expected)
 
     @invariant()
-    def nothing_certain_is_false_once_all_was_seen(self):
+    def trusted_entries_are_cached_once_all_events_were_seen(self):
         # Trusted entries may lag behind the engine, but when the index is at
         # the engine's last event they must be in its cache.
         engine = self.engine
@@ -342,13 +342,13 @@
             return
         for key in self.used:
             if self.index.confidence(short_key(key), self.now) == 1.0:
-                self.assertion(key in engine.keys)
+                self.check(key in engine.keys)
 
     @invariant()
-    def the_live_engine_is_never_taken_for_dead(self):
-        self.assertion(self.engine.incarnation not in self.index.dead)
+    def the_live_incarnation_is_never_a_past_one(self):
+        self.check(self.engine.incarnation not in self.index.past_incarnations)
 
-    def assertion(self, condition):
+    def check(self, condition):
         assert condition, (self.index.incarnation, self.index.sequence)
 
 
--- a/tests/test_agaterail/test_leases.py
+++ b/tests/test_agaterail/test_leases.py
@@ -13,7 +13,7 @@
 from agaterail.records import LEASES_STREAM
 
 
-class Rival:
+class LeaseCandidate:
     """A candidate whose reads and appends the test times."""
 
     def __init__(self, name, log, numbers):
@@ -39,7 +39,7 @@
     def prepare(self, now, rank=0):
         self.pending = self.keeper.next_record(now, rank)
         if self.pending is not None:
-            self.keeper.sending(self.pending, now)
+            self.keeper.on_send(self.pending, now)
 
     def send(self):
         if self.pending is not None:
@@ -57,17 +57,17 @@
     def setUp(self):
         self.log = MemoryLogStore()
         numbers = itertools.count()
-        self.one = Rival("one", self.log, numbers)
-        self.other = Rival("other", self.log, numbers)
+        self.one = LeaseCandidate("one", self.log, numbers)
+        self.other = LeaseCandidate("other", self.log, numbers)
 
     def test_the_first_offset_wins(self):
-        for rival in (self.one, self.other):
-            rival.read(0.0)
-            rival.prepare(0.0)
+        for candidate in (self.one, self.other):
+            candidate.read(0.0)
+            candidate.prepare(0.0)
         self.other.send()
         self.one.send()
-        for rival in (self.one, self.other):
-            rival.read(0.0)
+        for candidate in (self.one, self.other):
+            candidate.read(0.0)
         self.assertEqual(self.one.keeper.remaining_s(0.0), 0.0)
         self.assertEqual(self.other.keeper.remaining_s(0.0), 10.0)
 
@@ -80,7 +80,7 @@
         self.one.read(4.0)
         self.assertEqual(self.one.keeper.remaining_s(4.0), 6.0)
 
-    def test_a_paused_holder_finds_its_lease_lapsed(self):
+    def test_a_paused_holder_finds_its_lease_expired(self):
         # The holder sleeps for 20 s and still believes in its lease. On
         # waking, its own clock says no; the rival has acquired meanwhile.
         self.one.step(0.0)
@@ -90,18 +90,18 @@
         self.assertEqual(self.one.keeper.remaining_s(20.0), 0.0)
         self.assertGreater(self.other.keeper.view.fencing, self.one.keeper.view.fencing)
 
-    def test_a_rival_waits_the_whole_term(self):
+    def test_another_candidate_waits_the_whole_term(self):
         self.one.step(0.0)
         self.other.read(0.0)
         self.other.step(9.9)
         self.assertEqual(self.other.keeper.remaining_s(9.9), 0.0)
 
-    def test_an_unanswered_append_is_learnt_by_reading(self):
+    def test_an_unanswered_append_is_found_by_reading(self):
         self.log.lose_answers = 1
         self.one.step(0.0)
         self.assertEqual(self.one.keeper.remaining_s(0.0), 10.0)
 
-    def test_an_append_that_shows_up_after_a_second_one_gives_no_time(self):
+    def test_an_earlier_append_accepted_after_a_second_one_grants_no_time(self):
         # The first append seems lost and a second is prepared. The first then
         # turns up accepted: when it was sent is forgotten, so it gives no time.
         self.one.read(0.0)
@@ -113,7 +113,7 @@
         self.one.read(9.0)
         self.assertEqual(self.one.keeper.remaining_s(9.0), 0.0)
 
-    def test_expired_records_make_a_reader_wait_a_term(self):
+    def test_expired_records_make_a_reader_wait_one_term(self):
         # All records expired unread, among them that of the live holder. A
         # reader that took the lease for free would give orders beside it.
         self.one.step(0.0)
@@ -146,26 +146,28 @@
         self.log = MemoryLogStore()
         numbers = itertools.count()
         self.origin = {"a": 0.0, "b": 500.0, "c": -70.0}
-        self.rivals = {name: Rival(name, self.log, numbers) for name in self.origin}
+        self.candidates = {
+            name: LeaseCandidate(name, self.log, numbers) for name in self.origin
+        }
 
     def clock(self, name):
         return self.now + self.origin[name]
 
     @rule(name=names)
     def read(self, name):
-        self.rivals[name].read(self.clock(name))
+        self.candidates[name].read(self.clock(name))
 
     @rule(name=names)
     def prepare(self, name):
-        self.rivals[name].prepare(self.clock(name))
+        self.candidates[name].prepare(self.clock(name))
 
     @rule(name=names)
     def send(self, name):
-        self.rivals[name].send()
+        self.candidates[name].send()
 
     @rule(name=names)
     def step(self, name):
-        self.rivals[name].step(self.clock(name))
+        self.candidates[name].step(self.clock(name))
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 7.5, 11.0, 40.0]))
     def wait(self, seconds):
@@ -177,7 +179,7 @@
 
     @rule(seconds=st.sampled_from([4.0, 7.5, 9.0]))
     def all_read_then_wait(self, seconds):
-        for name in self.rivals:
+        for name in self.candidates:
             self.read(name)
         self.now += seconds
 
@@ -188,7 +190,7 @@
     @rule(name=names)
     def restart(self, name):
         numbers = itertools.count(int(self.now * 10) * 1000 + 1)
-        self.rivals[name] = Rival(f"{name}{self.now}", self.log, numbers)
+        self.candidates[name] = LeaseCandidate(f"{name}{self.now}", self.log, numbers)
 
     @rule(kept=st.integers(0, 2))
     def expire(self, kept):
@@ -199,8 +201,8 @@
     def at_most_one_holds(self):
         holding = [
             name
-            for name, rival in self.rivals.items()
-            if rival.keeper.remaining_s(self.clock(name)) > 0.0
+            for name, candidate in self.candidates.items()
+            if candidate.keeper.remaining_s(self.clock(name)) > 0.0
         ]
         assert len(holding) <= 1, holding
 
@@ -210,10 +212,10 @@
 
 
 class ReleaseTest(unittest.TestCase):
-    def test_a_release_lets_a_rival_acquire_at_once(self):
+    def test_a_release_lets_another_candidate_acquire_at_once(self):
         log = MemoryLogStore()
         numbers = itertools.count()
-        one, other = Rival("one", log, numbers), Rival("other", log, numbers)
+        one, other = LeaseCandidate("one", log, numbers), LeaseCandidate("other", log, numbers)
         one.step(0.0)
         other.read(0.0)
         record = one.keeper.release()
--- a/tests/test_agaterail/test_limits.py
+++ b/tests/test_agaterail/test_limits.py
@@ -22,7 +22,7 @@
         total = sum(rate_share(100.0, own, members) for own in members)
         self.assertAlmostEqual(total, 100.0)
 
-    def test_two_views_are_wrong_by_their_ratio_at_most(self):
+    def test_differing_views_exceed_the_limit_by_their_ratio_at_most(self):
         # Half of the daemons still believe that two are gone. Until the views
         # agree, the sum is above the limit by the ratio of the views.
         everyone = [str(number) for number in range(8)]
@@ -45,7 +45,7 @@
                 taken += amount
         self.assertLessEqual(taken, 100.0 * (now + BURST_S) + 500)
 
-    def test_the_wait_that_it_names_is_enough(self):
+    def test_the_returned_wait_is_long_enough(self):
         bucket = TokenBucket(100.0, 0.0)
         bucket.take(1000.0, 0.0)
         wait_s = bucket.take(10.0, 0.0)
--- a/tests/test_agaterail/test_loads.py
+++ b/tests/test_agaterail/test_loads.py
@@ -10,7 +10,7 @@
     def setUp(self):
         self.load = EngineLoad(1.0)
 
-    def test_dispatches_since_a_lagging_report_are_added_and_worked_off(self):
+    def test_dispatches_since_a_lagging_report_are_added_and_drained(self):
         # The report is 5 s old and says "idle". Three requests of 100 ms were
         # sent since, two of them just now: a router that believed the report
         # would send the next one there too.
@@ -33,7 +33,7 @@
         self.assertFalse(self.load.on_report(late, asked_at=9.0))
         self.assertAlmostEqual(self.load.queue_ms(9.0), 300.0)
 
-    def test_a_frozen_report_is_outweighed_by_the_dispatches(self):
+    def test_dispatches_correct_a_report_that_never_changes(self):
         for second in range(10):
             self.load.on_report(load_report(age_ms=second * 1e3), asked_at=100.0 + second)
             self.load.on_dispatch(str(second), 1100, 100.0 + second)
@@ -50,7 +50,7 @@
         self.load.on_report(load_report(incarnation="b"), asked_at=9.5)
         self.assertEqual(self.load.queue_ms(9.5), 0.0)
 
-    def test_requests_whose_finish_was_lost_are_forgotten(self):
+    def test_requests_whose_finish_was_lost_expire(self):
         self.load.on_dispatch("one", 400, 9.0)
         self.load.expire(1000.0)
         self.assertEqual((list(self.load.sent), self.load.running), ([], {}))
--- a/tests/test_agaterail/test_members.py
+++ b/tests/test_agaterail/test_members.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from agaterail.members import CALL_WEIGHT, MAX_ABSENCE_S, QUERY_WEIGHT, MemberView
+from agaterail.members import CALL_WEIGHT, MAX_EJECTION_S, QUERY_WEIGHT, MemberView
 
 OWN = "10.0.0.1:1"
 OTHER = "10.0.0.2:1"
@@ -17,19 +17,19 @@
         for tenth in range(int(seconds * 10) + 1):
             self.view.on_missed(OTHER, weight, start_s + tenth / 10)
 
-    def test_failed_calls_leave_a_member_out_for_a_bounded_time(self):
+    def test_failed_calls_eject_a_member_for_a_bounded_time(self):
         self.miss_for(0.0, 1.5)
         self.assertEqual(self.view.live(1.6), (OWN,))
         self.assertEqual(self.view.live(12.0), (OWN, OTHER))
 
-    def test_an_absence_never_grows_beyond_its_bound(self):
+    def test_an_ejection_never_exceeds_its_bound(self):
         now = 0.0
         for _ in range(8):
             self.miss_for(now, 1.5)
-            now += 1.5 + MAX_ABSENCE_S
+            now += 1.5 + MAX_EJECTION_S
             self.assertIn(OTHER, self.view.live(now))
 
-    def test_queries_that_time_out_in_one_own_pause_condemn_nobody(self):
+    def test_queries_that_time_out_in_a_pause_of_this_process_eject_nobody(self):
         # This process is paused for ten seconds; on waking all queries that
         # were in flight time out at once, to members that are well.
         for _ in range(50):
@@ -42,7 +42,7 @@
         self.view.on_missed(OTHER, CALL_WEIGHT, 1.5)
         self.assertIn(OTHER, self.view.live(1.5))
 
-    def test_the_drain_word_goes_before_the_lagging_list(self):
+    def test_a_drain_notice_overrides_the_lagging_list(self):
         # A daemon tells that it drains; the list goes on naming it for a
         # while. Once the list has dropped it, a new listing counts at once.
         self.view.on_drain(OTHER, 0.0)
@@ -52,7 +52,7 @@
         self.view.on_list([OWN, OTHER])
         self.assertIn(OTHER, self.view.live(6.0))
 
-    def test_an_empty_list_is_not_believed(self):
+    def test_an_empty_list_is_ignored(self):
         # The platform's list comes back empty after a fault; every daemon
         # would take itself for the home of all engines.
         self.view.on_list([])
--- a/tests/test_agaterail/test_policies/test_cost.py
+++ b/tests/test_agaterail/test_policies/test_cost.py
@@ -5,7 +5,7 @@
 
 from agaterail.candidates import CandidateState
 from agaterail.policies import Placement
-from agaterail.policies.cost import CANDIDATES, CostPolicy, PoolRanking
+from agaterail.policies.cost import HASH_CANDIDATES, CostPolicy, PoolRanking
 from agaterail.prefix import Prefix
 from agaterail.targets import TargetBook
 from agaterail.util.ring import number_of
@@ -15,7 +15,7 @@
 PROMPT_TOKENS = 100
 
 
-def place(key=b"k" * 16, views=(), **route):
+def make_placement(key=b"k" * 16, views=(), **route):
     return Placement(
         pool=engine_pool(ADDRESSES, prefill_ms_per_token=1.0),
         route=chat_route(**{"miss_weight": 3.0, **route}),
@@ -26,7 +26,7 @@
     )
 
 
-def states(*addresses, **fields):
+def make_states(*addresses, **fields):
     book = TargetBook()
     pool = engine_pool(addresses or ADDRESSES)
     found = book.usable(pool, 0.0)
@@ -42,7 +42,9 @@
         self.one, self.two, self.three = ADDRESSES[:3]
 
     def choose(self, *views, **route):
-        return self.policy.choose(place(views=views, **route), states(*ADDRESSES[:3]))
+        return self.policy.choose(
+            make_placement(views=views, **route), make_states(*ADDRESSES[:3])
+        )
 
     def test_a_hit_is_worth_the_weighted_prefill_in_queue(self):
         # The engine with the prefix has a queue. Below three prefills of the
@@ -52,7 +54,7 @@
             decision = self.choose(CandidateState(self.one), cached)
             self.assertEqual(decision.address, expected)
 
-    def test_a_route_may_weigh_the_first_token_more(self):
+    def test_a_route_may_weight_misses_less(self):
         cached = CandidateState(self.two, depth=10, queue_ms=200.0)
         decision = self.choose(CandidateState(self.one), cached, miss_weight=1.0)
         self.assertEqual(decision.address, self.one)
@@ -63,7 +65,7 @@
         sure = CandidateState(self.two, depth=8)
         self.assertEqual(self.choose(suspect, sure).address, self.two)
 
-    def test_other_weights_and_leaving_engines_are_passed_over(self):
+    def test_other_weights_and_leaving_engines_are_not_chosen(self):
         # The home knows it before the tables or the host list say so.
         stale = CandidateState(self.one, depth=10, weights_version="v0")
         leaving = CandidateState(self.two, depth=10, leaving=True)
@@ -71,18 +73,18 @@
 
     def test_another_domain_costs_little_but_something(self):
         for state_domains, expected in ((("b", "a"), 1), (("a", "b"), 0)):
-            targets = states(*ADDRESSES[:2])
+            targets = make_states(*ADDRESSES[:2])
             for state, domain in zip(targets, state_domains, strict=True):
                 state.domain = domain
             views = [CandidateState(state.address, depth=10) for state in targets]
-            decision = self.policy.choose(place(views=views), targets)
+            decision = self.policy.choose(make_placement(views=views), targets)
             self.assertEqual(decision.address, ADDRESSES[expected])
 
     def test_without_answers_own_requests_bound_the_first_by_hash(self):
-        targets = states(*ADDRESSES[:3])
+        targets = make_states(*ADDRESSES[:3])
         chosen = []
         for _ in range(30):
-            decision = self.policy.choose(place(), targets)
+            decision = self.policy.choose(make_placement(), targets)
             state = next(item for item in targets if item.address == decision.address)
             state.in_flight += 1
             chosen.append(decision.address)
@@ -97,7 +99,7 @@
         decision = self.choose()
         self.assertEqual(decision.address, self.three)
         self.assertIsNone(decision.expected_ms)
-        place_again = [entry.address for entry in self.policy.candidates(place(), ())]
+        place_again = [entry.address for entry in self.policy.candidates(make_placement(), ())]
         self.assertIn(self.three, place_again)
 
     def test_every_decision_names_its_terms(self):
@@ -106,26 +108,26 @@
             names, ["queue_ms", "miss_ms", "domain_ms", "rank_ms", "transfer_ms", "views"]
         )
 
-    def test_candidates_hold_the_least_loaded_known_engine(self):
-        ranked = self.policy.candidates(place(), ())
+    def test_candidates_include_the_least_loaded_known_engine(self):
+        ranked = self.policy.candidates(make_placement(), ())
         outside = next(
             address
             for address in ADDRESSES
-            if address not in {entry.address for entry in ranked[:CANDIDATES]}
+            if address not in {entry.address for entry in ranked[:HASH_CANDIDATES]}
         )
         self.choose(CandidateState(outside), CandidateState(self.one, queue_ms=5.0))
-        self.policy.least_loaded.found_at = 0.0
-        again = self.policy.candidates(place(), ())
-        self.assertEqual([entry.address for entry in again][CANDIDATES:], [outside])
+        self.policy.least_loaded.searched_at = 0.0
+        again = self.policy.candidates(make_placement(), ())
+        self.assertEqual([entry.address for entry in again][HASH_CANDIDATES:], [outside])
 
     def test_a_hot_prefix_gets_more_candidates(self):
         for _ in range(200):
-            found = self.policy.candidates(place(), ())
+            found = self.policy.candidates(make_placement(), ())
         self.assertEqual(len(found), len(ADDRESSES))
 
     def test_an_excluded_target_is_no_candidate(self):
-        first = self.policy.candidates(place(), ())[0]
-        left = self.policy.candidates(place(), {first.address})
+        first = self.policy.candidates(make_placement(), ())[0]
+        left = self.policy.candidates(make_placement(), {first.address})
         self.assertNotIn(first, left)
 
 
--- a/tests/test_agaterail/test_prefix.py
+++ b/tests/test_agaterail/test_prefix.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from agaterail.chat import Message
-from agaterail.prefix import ByteTokenizer, Scope, name_prefix
+from agaterail.prefix import ByteTokenizer, Scope, compute_prefix
 
 parts = st.text(max_size=6)
 scopes = st.builds(Scope, parts, parts, parts, parts)
@@ -17,15 +17,16 @@
     def test_different_scopes_share_no_key(self, one, other):
         messages = [Message("user", "x" * 100)]
         names = [
-            name_prefix(scope, messages, ByteTokenizer(1), 10).keys for scope in (one, other)
+            compute_prefix(scope, messages, ByteTokenizer(1), 10).keys
+            for scope in (one, other)
         ]
         self.assertEqual(one == other, not set(names[0]).isdisjoint(names[1]))
 
 
-class NamePrefixTest(unittest.TestCase):
+class ComputePrefixTest(unittest.TestCase):
     def name(self, *contents):
         messages = [Message("user", content) for content in contents]
-        return name_prefix(Scope("w", "m", "", "v"), messages, ByteTokenizer(1), 10)
+        return compute_prefix(Scope("w", "m", "", "v"), messages, ByteTokenizer(1), 10)
 
     def test_equal_beginnings_share_their_leading_keys(self):
         # Each message has its role and two line ends around it: 106 bytes are
@@ -35,12 +36,12 @@
         self.assertEqual(shared, [True] * 11 + [False] * 5)
         self.assertEqual(one.level_blocks, (10,))
 
-    def test_the_question_does_not_move_the_placement(self):
+    def test_the_question_does_not_change_the_placement(self):
         one = self.name("instructions", "history", "one question")
         other = self.name("instructions", "history", "another")
         self.assertEqual(one.placement_key, other.placement_key)
 
-    def test_a_history_moves_the_placement(self):
+    def test_another_history_changes_the_placement(self):
         one = self.name("instructions", "history", "question")
         other = self.name("instructions", "other history", "question")
         self.assertNotEqual(one.placement_key, other.placement_key)
--- a/tests/test_agaterail/test_rollout.py
+++ b/tests/test_agaterail/test_rollout.py
@@ -11,7 +11,7 @@
 from agaterail.application import Application
 from agaterail.engines import Engine, EngineReply, EngineState, OrderAnswer
 from agaterail.logstore.memory import MemoryLogStore
-from agaterail.rollout import LOAD_TIMEOUT_S, MAX_LOADS
+from agaterail.rollout import LOAD_TIMEOUT_S, MAX_CONCURRENT_LOADS
 from agaterail.settings import Settings
 from agaterail.tables import Tables, Versioned
 from agaterail.timers import ManualTimerService
@@ -48,39 +48,39 @@
     def __init__(self, timers, fencing=True):
         self.timers = timers
         self.fencing = fencing
-        self.number = -1
+        self.highest_fencing = -1
         self.version = "v1"
         self.adapters = ()
-        self.target = None
+        self.loading_version = None
         self.ready_at = 0.0
         self.alive = True
         self.readable = True
-        self.broken = set()
-        self.bad_answers = set()
-        self.taken = []
+        self.failing_versions = set()
+        self.bad_answer_versions = set()
+        self.accepted_orders = []
         self.loads = 0
 
-    def settle(self):
-        if self.target is not None and self.timers.now() >= self.ready_at:
-            self.version, self.target = self.target, None
+    def finish_load(self):
+        if self.loading_version is not None and self.timers.now() >= self.ready_at:
+            self.version, self.loading_version = self.loading_version, None
 
     @property
     def loading(self):
-        self.settle()
-        return self.target is not None
+        self.finish_load()
+        return self.loading_version is not None
 
     def order(self, order):
         if not self.alive:
             return Failure("no answer")
-        if self.fencing and order.fencing < self.number:
+        if self.fencing and order.fencing < self.highest_fencing:
             return Success(OrderAnswer.STALE)
-        self.number = max(self.number, order.fencing)
-        self.taken.append(order.fencing)
+        self.highest_fencing = max(self.highest_fencing, order.fencing)
+        self.accepted_orders.append(order.fencing)
         self.adapters = order.adapters
-        if order.weights_version in self.broken:
+        if order.weights_version in self.failing_versions:
             return Success(OrderAnswer.FAILED)
         if order.weights_version != self.version and not self.loading:
-            self.target = order.weights_version
+            self.loading_version = order.weights_version
             self.ready_at = self.timers.now() + LOAD_S
             self.loads += 1
         return Success(OrderAnswer.STARTED)
@@ -97,14 +97,14 @@
                 adapters=self.adapters,
                 role="serve",
                 loading=loading,
-                fencing=self.number,
+                fencing=self.highest_fencing,
             )
         )
 
     def open(self, request):
         if not self.alive:
             return Failure(ExchangeBroken("dead"))
-        status = 500 if self.version in self.bad_answers else 200
+        status = 500 if self.version in self.bad_answer_versions else 200
         return Success(FakeReply(request.request_id, self.version, status))
 
     def resume(self, request):
@@ -167,7 +167,7 @@
 
     def versions(self):
         for engine in self.engines.values():
-            engine.settle()
+            engine.finish_load()
         return sorted(engine.version for engine in self.engines.values())
 
 
@@ -185,35 +185,39 @@
         # version, and no other engine is asked.
         daemons = Daemons()
         for engine in daemons.engines.values():
-            engine.broken = {"v2"}
+            engine.failing_versions = {"v2"}
         daemons.run(5)
         daemons.desire(weights_version="v2", version=2)
         daemons.run(40)
         self.assertEqual(daemons.versions(), ["v1"] * 5)
-        self.assertEqual(sum(bool(engine.taken) for engine in daemons.engines.values()), 1)
+        self.assertEqual(
+            sum(bool(engine.accepted_orders) for engine in daemons.engines.values()), 1
+        )
 
-    def test_a_version_that_answers_badly_is_taken_back(self):
+    def test_a_version_that_fails_the_check_is_rolled_back(self):
         # The first engine loads the version but fails the check. It returns
         # to the version that also serves; the rollout stays halted.
         daemons = Daemons()
         for engine in daemons.engines.values():
-            engine.bad_answers = {"v2"}
+            engine.bad_answer_versions = {"v2"}
         daemons.run(5)
         daemons.desire(weights_version="v2", version=2)
         daemons.run(60)
         self.assertEqual(daemons.versions(), ["v1"] * 5)
-        self.assertEqual(sum(bool(engine.taken) for engine in daemons.engines.values()), 1)
+        self.assertEqual(
+            sum(bool(engine.accepted_orders) for engine in daemons.engines.values()), 1
+        )
 
     def test_the_next_holder_does_not_try_a_halted_version(self):
         # The holder halts a bad version and dies. Its successor reads the
         # halt from the log and leaves the engines alone.
         daemons = Daemons()
         for engine in daemons.engines.values():
-            engine.broken = {"v2"}
+            engine.failing_versions = {"v2"}
         daemons.run(5)
         daemons.desire(weights_version="v2", version=2)
         daemons.run(10)
-        orders = sum(len(engine.taken) for engine in daemons.engines.values())
+        orders = sum(len(engine.accepted_orders) for engine in daemons.engines.values())
         leader = next(
             number
             for number, app in enumerate(daemons.apps)
@@ -223,9 +227,11 @@
             daemons.step(1 - leader)
             daemons.timers.advance(0.5)
         self.assertGreaterEqual(daemons.apps[1 - leader].controllers["rollout"].fencing, 0)
-        self.assertEqual(sum(len(engine.taken) for engine in daemons.engines.values()), orders)
+        self.assertEqual(
+            sum(len(engine.accepted_orders) for engine in daemons.engines.values()), orders
+        )
 
-    def test_a_dead_holder_is_followed_without_repeating_finished_loads(self):
+    def test_the_next_holder_does_not_repeat_finished_loads(self):
         daemons = Daemons()
         daemons.run(5)
         daemons.desire(weights_version="v2", version=2)
@@ -247,7 +253,9 @@
         daemons = Daemons()
         daemons.run(5)
         daemons.desire(weights_version="v2", serving_min=1, version=2)
-        while sum(engine.loading for engine in daemons.engines.values()) < MAX_LOADS:
+        while (
+            sum(engine.loading for engine in daemons.engines.values()) < MAX_CONCURRENT_LOADS
+        ):
             daemons.run(0.5)
         for engine in daemons.engines.values():
             if engine.loading:
@@ -271,7 +279,7 @@
         self.assertEqual(most, 1)
         self.assertEqual(daemons.versions(), ["v2"] * 5)
 
-    def test_no_order_is_sent_that_could_outlive_the_lease(self):
+    def test_no_order_is_sent_that_could_arrive_after_the_lease(self):
         # An order may be in flight for two seconds. With one second of the
         # lease left it could arrive after the next holder's first order.
         daemons = Daemons(count=1)
@@ -281,7 +289,9 @@
         app.controllers["leases"].keeper.held_until = daemons.timers.now() + 1.0
         for _ in range(3):
             app.controllers["rollout"].reconcile()
-        self.assertEqual(sum(len(engine.taken) for engine in daemons.engines.values()), 0)
+        self.assertEqual(
+            sum(len(engine.accepted_orders) for engine in daemons.engines.values()), 0
+        )
 
     def test_a_late_order_on_an_engine_without_fencing_is_repaired(self):
         # A paused holder's order for the old version arrives after the new
@@ -291,12 +301,12 @@
         daemons.run(5)
         daemons.desire(weights_version="v2", version=2)
         daemons.run(40)
-        stray = daemons.engines[ADDRESSES[0]]
-        stray.target, stray.ready_at = "v1", daemons.timers.now()
+        engine = daemons.engines[ADDRESSES[0]]
+        engine.loading_version, engine.ready_at = "v1", daemons.timers.now()
         daemons.run(20)
         self.assertEqual(daemons.versions(), ["v2"] * 5)
 
-    def test_without_the_log_no_order_is_given_once_the_lease_lapses(self):
+    def test_without_the_log_no_order_is_sent_once_the_lease_expires(self):
         daemons = Daemons()
         daemons.run(5)
         daemons.log.down = True
@@ -308,7 +318,7 @@
         daemons.run(60)
         self.assertEqual(daemons.versions(), ["v2"] * 5)
 
-    def test_an_engine_that_dies_of_its_load_halts_the_version(self):
+    def test_an_engine_that_dies_while_loading_halts_the_version(self):
         daemons = Daemons()
         daemons.run(5)
         daemons.desire(weights_version="v2", version=2)
@@ -367,12 +377,12 @@
     @invariant()
     def at_most_two_engines_load(self):
         loading = [engine.loading for engine in self.daemons.engines.values()]
-        assert sum(loading) <= MAX_LOADS
+        assert sum(loading) <= MAX_CONCURRENT_LOADS
 
     @invariant()
-    def numbers_never_fall(self):
+    def fencing_numbers_never_decrease(self):
         for engine in self.daemons.engines.values():
-            assert engine.taken == sorted(engine.taken)
+            assert engine.accepted_orders == sorted(engine.accepted_orders)
 
     @invariant()
     def the_serving_minimum_is_kept(self):
--- a/tests/test_agaterail/test_transfers.py
+++ b/tests/test_agaterail/test_transfers.py
@@ -3,13 +3,13 @@
 import unittest
 
 from agaterail.transfers import (
-    FAILURE_PAUSE_S,
-    KEPT_FOR_S,
     MAX_EXPORT_AGE_S,
+    REEXPORT_INTERVAL_S,
+    SOURCE_BACKOFF_S,
     ExportQueue,
     ImportLimits,
     Source,
-    plan,
+    plan_import,
 )
 
 KEYS = tuple(bytes([number]) for number in range(6))
@@ -17,14 +17,14 @@
 
 class PlanTest(unittest.TestCase):
     def plan(self, depth, held, import_ms=10.0, prefill_ms=50.0):
-        return plan(Source("store", depth), held, import_ms, prefill_ms)
+        return plan_import(Source("store", depth), held, import_ms, prefill_ms)
 
     def test_only_missing_blocks_are_copied(self):
         transfer = self.plan(depth=8, held=3)
         self.assertEqual((transfer.start, transfer.end), (3, 8))
         self.assertEqual((transfer.transfer_ms, transfer.saved_ms), (50.0, 250.0))
 
-    def test_no_copy_that_saves_little_or_nothing(self):
+    def test_a_copy_that_saves_little_or_nothing_is_not_planned(self):
         self.assertIsNone(self.plan(depth=3, held=3))
         self.assertIsNone(self.plan(depth=2, held=5))
         self.assertIsNone(self.plan(depth=8, held=3, import_ms=50.0))
@@ -34,34 +34,34 @@
 
 class ImportLimitsTest(unittest.TestCase):
     def test_imports_of_one_engine_are_bounded(self):
-        limits = ImportLimits(most=1)
+        limits = ImportLimits(limit=1)
         self.assertTrue(limits.begin("a", "store", 0.0))
         self.assertFalse(limits.begin("a", "store", 0.0))
         self.assertTrue(limits.begin("b", "store", 0.0))
         limits.end("a", "store", True, 1.0)
         self.assertTrue(limits.begin("a", "store", 1.0))
 
-    def test_a_store_that_failed_is_left_alone_for_a_while(self):
+    def test_a_failed_store_is_not_used_during_its_backoff(self):
         # The store is down. Each import that is waited for delays an answer;
         # only the first one of a pause may.
         limits = ImportLimits()
         limits.begin("a", "store", 0.0)
         limits.end("a", "store", False, 1.0)
-        self.assertFalse(limits.begin("a", "store", 1.0 + FAILURE_PAUSE_S / 2))
-        self.assertTrue(limits.begin("a", "store", 1.0 + FAILURE_PAUSE_S))
+        self.assertFalse(limits.begin("a", "store", 1.0 + SOURCE_BACKOFF_S / 2))
+        self.assertTrue(limits.begin("a", "store", 1.0 + SOURCE_BACKOFF_S))
 
 
 class ExportQueueTest(unittest.TestCase):
     def setUp(self):
-        self.queue = ExportQueue(most=2)
+        self.queue = ExportQueue(limit=2)
 
     def use(self, keys, now, engine="a"):
-        self.queue.note(engine, keys, now)
+        self.queue.record_use(engine, keys, now)
 
     def due(self, now):
         return [(use.engine, use.keys) for use in self.queue.due(now)]
 
-    def test_the_prefix_unused_for_longest_goes_first(self):
+    def test_the_least_recently_used_prefix_is_exported_first(self):
         for now, last in ((0.0, 3), (0.1, 4), (0.2, 3), (0.3, 4)):
             self.use(KEYS[:last], now)
         self.assertEqual(self.due(1.0), [("a", KEYS[:3])])
@@ -76,11 +76,11 @@
     def test_a_kept_prefix_is_not_exported_again_soon(self):
         self.use(KEYS[:3], 0.0)
         self.use(KEYS[:3], 0.0)
-        self.queue.mark_kept(self.queue.due(1.0)[0], 1.0)
+        self.queue.mark_exported(self.queue.due(1.0)[0], 1.0)
         self.use(KEYS[:3], 2.0)
         self.assertEqual(self.due(3.0), [])
-        self.use(KEYS[:3], KEPT_FOR_S)
-        self.assertEqual(self.due(KEPT_FOR_S + 1.0), [("a", KEYS[:3])])
+        self.use(KEYS[:3], REEXPORT_INTERVAL_S)
+        self.assertEqual(self.due(REEXPORT_INTERVAL_S + 1.0), [("a", KEYS[:3])])
 
     def test_the_engine_that_used_it_last_exports(self):
         self.use(KEYS[:3], 0.0, "a")
--- a/tools/bench/tune.py
+++ b/tools/bench/tune.py
@@ -58,9 +58,9 @@
     if tuning.query_timeout_ms is not None:
         finder.timeout_s = tuning.query_timeout_ms / 1e3
     if tuning.query_timeout_ms == 0:
-        finder.ask = _no_answers
+        finder.query = _no_answers
     if not tuning.widen:
-        policy.heat.widen_per_s = float("inf")
+        policy.hot_keys.replica_rate_per_s = float("inf")
     if not tuning.predict:
         EngineIndex.predict = _nothing  # type: ignore[method-assign,assignment]
     if not tuning.count_dispatches:
--- a/tools/bench_index.py
+++ b/tools/bench_index.py
@@ -10,7 +10,7 @@
 import tracemalloc
 from collections.abc import Callable
 
-from agaterail.candidates import CandidateAnswer, CandidateQuery, CandidateState, shorten
+from agaterail.candidates import CandidateAnswer, CandidateQuery, CandidateState, sample_prefix
 from agaterail.candidates import split_keys as split
 from agaterail.codec import converter
 from agaterail.engines import CacheEvent, CacheEventKind, CacheEvents
@@ -199,7 +199,7 @@
 
 
 def _query_codec() -> None:
-    short = shorten(_prefix(random.Random(SEED)))
+    short = sample_prefix(_prefix(random.Random(SEED)))
     states = tuple(
         CandidateState(f"10.0.0.{number}:80", 5, 1.0, 20.0, 2, 100.0, 0.05, "v1")
         for number in range(2)
