--- a/agaterail/admission.py
+++ b/agaterail/admission.py
@@ -1,37 +1,39 @@
-"""Admission to a pool: fair between workspaces, and only what can be in time."""
+"""Admission control of a pool: fairness between workspaces and deadline checks."""
 
 from __future__ import annotations
 
 import attrs
 
-# Work that one daemon keeps waiting for a first token, for each engine that is
-# its part of the pool: a part of the deadline, but never less than MIN_QUEUE_MS.
-# More would only wait at the engines; less would refuse a short burst of cold
-# prompts that all of them could still answer long before their deadline.
+# Bound on the outstanding prefill work of one daemon, per engine in its share of
+# the pool: a share of the deadline, but at least MIN_QUEUE_MS. More work would
+# only wait at the engines. Less would refuse short bursts of cold prompts that
+# the engines could still answer long before their deadlines.
 MIN_QUEUE_MS = 500.0
 QUEUE_DEADLINE_SHARE = 1 / 6
-# Above this part of the free queue a workspace's requests go behind the others'.
+# Requests of a workspace that holds more than this share of the free queue are
+# served after those of the others.
 LIGHT_SHARE = 0.25
 MAX_PRIORITY = 9
 MISS_RATIO_EWMA_WEIGHT = 0.05
-# As the cost policy takes it: an engine of which nothing is known holds a prefix
-# about every second time.
+# Same assumption as DEFAULT_HIT_SHARE of the cost policy: an engine without a
+# known state has a prefix cached about half of the time.
 INITIAL_MISS_RATIO = 0.5
 MIN_HEADROOM = 0.5
 ROUNDING_ERROR_MS = 1e-6
 
 
 class FairGate:
-    """Outstanding work for one pool, by workspace.
+    """Limits the outstanding work of each workspace in one pool.
 
-    A workspace may hold at most as much as is left free, times its weight
-    (dynamic thresholds). One flooding workspace so ends with half of the queue
-    and the rest stays open, without any count of who is active.
+    A workspace may hold at most as much of the queue as is free, times its
+    weight (dynamic thresholds). A single flooding workspace thus ends up with
+    half of the queue and the other half stays free, without tracking which
+    workspaces are active.
 
     Attributes
     ----------
     outstanding_ms
-        Milliseconds of prefill sent and without a first token, by workspace.
+        Prefill work sent but still without a first token, by workspace.
     """
 
     def __init__(self) -> None:
@@ -39,7 +41,7 @@
         self.total_ms = 0.0
 
     def admit(self, workspace: str, cost_ms: float, capacity_ms: float, weight: float) -> bool:
-        """Take a request in, if its workspace holds less than its threshold."""
+        """Admit a request if its workspace stays below its threshold."""
         if self.is_full(workspace, cost_ms, capacity_ms, weight):
             return False
         self.outstanding_ms[workspace] = self.outstanding_ms.get(workspace, 0.0) + cost_ms
@@ -49,14 +51,17 @@
     def is_full(
         self, workspace: str, cost_ms: float, capacity_ms: float, weight: float
     ) -> bool:
-        """Tell whether a workspace holds its threshold already."""
+        """Return whether one more request would exceed a workspace's threshold.
+
+        A workspace without outstanding work is never full.
+        """
         outstanding_ms = self.outstanding_ms.get(workspace, 0.0)
         return outstanding_ms > 0.0 and outstanding_ms + cost_ms > weight * (
             capacity_ms - self.total_ms
         )
 
     def release(self, workspace: str, cost_ms: float) -> None:
-        """Let a request go that has its first token or failed."""
+        """Release the work of a request that has its first token or has failed."""
         self.total_ms = max(0.0, self.total_ms - cost_ms)
         left = self.outstanding_ms[workspace] - cost_ms
         self.outstanding_ms[workspace] = left
@@ -64,45 +69,46 @@
             del self.outstanding_ms[workspace]
 
     def is_light(self, workspace: str, cost_ms: float, capacity_ms: float) -> bool:
-        """Tell whether a workspace holds little even with one more request.
+        """Return whether a workspace holds little, including one more request.
 
-        Measured by what is free: when many small workspaces fill the queue
-        together, none is light. Together they could else keep the engines busy
-        and the requests behind them would wait until their deadlines.
+        The measure is the free part of the queue: if many small workspaces fill
+        the queue together, none of them is light. Otherwise they could keep the
+        engines busy together, and the requests behind theirs would wait until
+        their deadlines.
         """
         outstanding_ms = self.outstanding_ms.get(workspace, 0.0) + cost_ms
         return outstanding_ms <= LIGHT_SHARE * (capacity_ms - self.total_ms)
 
 
 class MissRatio:
-    """Part of a prompt that usually must be computed, learnt from known hits.
+    """Moving average of the share of a prompt that is not cached.
 
-    Without an answer from the engines' homes the hit is not known. Counted as a
-    miss of the whole prompt, requests that the engines hold would be refused as
-    soon as homes fall silent.
+    It replaces the cache hit if the engines' homes do not answer. If the whole
+    prompt counted as a miss instead, requests whose prefixes are cached would
+    be refused as soon as homes stop answering.
     """
 
     def __init__(self) -> None:
         self.value = INITIAL_MISS_RATIO
 
     def update(self, missing_tokens: int, prompt_tokens: int) -> None:
-        """Take in one request whose hit was known."""
+        """Update the average with a request whose cache hit was known."""
         share = missing_tokens / max(1, prompt_tokens)
         self.value += MISS_RATIO_EWMA_WEIGHT * (share - self.value)
 
 
 @attrs.frozen
 class AdmissionRequest:
-    """One request as admission sees it.
+    """Properties of a request that admission control depends on.
 
     Attributes
     ----------
     cost_ms
-        Prefill that it adds.
+        Prefill time that the request adds.
     expected_ms
-        Expected time to its first token; None when it is not known.
+        Expected time to first token, or None if unknown.
     remaining_ms
-        Time to its deadline.
+        Time left until the deadline.
     """
 
     workspace: str
@@ -113,7 +119,7 @@
 
 
 def priority_weight(priority: int) -> float:
-    """Return the part of the free queue that a priority may use.
+    """Return the threshold weight of a priority, 0.5 for the lowest to 2 for the highest.
 
     The lowest priority is refused first, when half of the queue is in use; the
     highest may use nearly all that is left.
@@ -122,9 +128,9 @@
 
 
 def can_meet_deadline(load: AdmissionRequest) -> bool:
-    """Tell whether the first token can be expected before the deadline.
+    """Return whether the first token is expected before the deadline.
 
-    Lower priorities keep a distance to it, so that under load they go first.
+    Lower priorities need a safety margin, so under load they are refused first.
     """
     if load.expected_ms is None:
         return True
@@ -133,10 +139,10 @@
 
 
 def queue_capacity_ms(targets: int, members: int, deadline_ms: float) -> float:
-    """Return the queue that one daemon may keep at a pool, in milliseconds.
+    """Return the outstanding work that one daemon may keep in a pool.
 
-    Never below one engine's: a daemon that shares few engines with many others
-    must still be able to send.
+    It is at least that of one engine: a daemon that shares few engines with
+    many others must still be able to send requests.
     """
     return max(MIN_QUEUE_MS, QUEUE_DEADLINE_SHARE * deadline_ms) * max(
         1.0, targets / max(1, members)
--- a/agaterail/candidates.py
+++ b/agaterail/candidates.py
@@ -1,4 +1,4 @@
-"""Questions to the homes of candidate engines, and what homes are told."""
+"""Queries and notices that daemons send to the homes of engines."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
     from agaterail.timers import TimerService
 
 QUERY_TIMEOUT_S = 0.02
-# A home that has not answered for a while is asked only now and then: waiting
-# for it in every request would add the whole timeout to each first token.
+# A home that has failed to answer for FAILURE_SPAN_S is not queried again for
+# HOME_BACKOFF_S. Otherwise every request would wait for the full query timeout,
+# which would be added to its time to first token.
 FAILURE_SPAN_S = 0.25
 HOME_BACKOFF_S = 0.25
 MAX_EXACT_DEPTH = 32
@@ -30,14 +31,14 @@
 @peer_message
 @attrs.frozen
 class CandidateQuery:
-    """Question to the home of some engines about one prompt.
+    """Query to the home of some engines about one prompt.
 
     Attributes
     ----------
     keys
-        Short block keys, joined.
+        Concatenated short block keys.
     depths
-        Blocks up to the end of each key; empty for 1, 2, 3 and so on.
+        Number of blocks up to and including each key; empty means 1, 2, 3, ...
     """
 
     engines: tuple[str, ...]
@@ -48,16 +49,16 @@
 @peer_message
 @attrs.frozen
 class CandidateState:
-    """What a home knows of one engine for one prompt.
+    """State of one engine, with its cache hit for one prompt.
 
     Attributes
     ----------
     depth
         Leading blocks that are probably cached.
     confidence
-        Expected cached part of these.
+        Fraction of these blocks that is expected to be cached.
     age_ms
-        Age of the load report behind the estimate; -1 without a report.
+        Age of the load report behind the estimate, or -1 without a report.
     """
 
     engine: str
@@ -74,7 +75,7 @@
 @peer_message
 @attrs.frozen
 class CandidateAnswer:
-    """Answer of a home; engines that it does not follow are missing."""
+    """Answer of a home; engines that it does not follow are left out."""
 
     states: tuple[CandidateState, ...] = ()
 
@@ -82,7 +83,7 @@
 @peer_message
 @attrs.frozen
 class DispatchNotice:
-    """A request is being sent to an engine."""
+    """Notice to an engine's home that a request is being sent to the engine."""
 
     engine: str
     dispatch_id: str
@@ -93,7 +94,7 @@
 @peer_message
 @attrs.frozen
 class FinishNotice:
-    """A dispatched request has ended, or did not run at all."""
+    """Notice to an engine's home that a dispatched request ended or did not run."""
 
     engine: str
     dispatch_id: str
@@ -102,12 +103,12 @@
 
 @attrs.frozen
 class PrefixSample:
-    """The part of a prefix that is sent to homes.
+    """Sampled and truncated block keys of a prefix, as sent to homes.
 
     Attributes
     ----------
     depths
-        Blocks up to the end of each key.
+        Number of blocks up to and including each key.
     """
 
     keys: bytes
@@ -115,15 +116,16 @@
 
     @property
     def exact(self) -> bool:
-        """Tell whether every block has its key here."""
+        """Whether the sample includes the key of every block."""
         return len(self.depths) == (self.depths[-1] if self.depths else 0)
 
 
 def sample_prefix(prefix: Prefix) -> PrefixSample:
-    """Return the keys to send: all at the start, then fewer and fewer.
+    """Return every leading block key, then keys at increasing intervals.
 
-    Above ``MAX_EXACT_DEPTH`` blocks, a depth is exact at the ends of the levels and
-    otherwise too small by one part in ``MAX_EXACT_DEPTH / 2`` at most.
+    Up to ``MAX_EXACT_DEPTH`` blocks, the depth that a home finds is exact. Beyond
+    that it is exact at the ends of the levels and elsewhere too small by at most
+    one part in ``MAX_EXACT_DEPTH / 2``.
     """
     count = len(prefix.keys)
     levels = {level for level in prefix.level_blocks if 0 < level <= count}
@@ -133,7 +135,7 @@
 
 
 def split_keys(keys: bytes) -> list[int]:
-    """Return joined short keys as numbers."""
+    """Return concatenated short keys as integers."""
     return [
         short_key(keys[start : start + SHORT_KEY_BYTES])
         for start in range(0, len(keys), SHORT_KEY_BYTES)
@@ -141,7 +143,7 @@
 
 
 class CandidateFinder:
-    """Asks homes at once, with a short deadline."""
+    """Queries the homes of engines concurrently, with a short timeout."""
 
     def __init__(self, peers: Peers, homes: HomeMap, timers: TimerService) -> None:
         self.peers = peers
@@ -153,7 +155,7 @@
         _warm_up_codec()
 
     def query(self, engines: Sequence[str], prefix: PrefixSample) -> dict[str, CandidateState]:
-        """Return what is known of the engines whose homes answered in time."""
+        """Return the states of the engines whose homes answered in time."""
         now = self.timers.now()
         depths = () if prefix.exact else prefix.depths
         queries = {
@@ -169,12 +171,12 @@
     def notify_dispatch(
         self, engine: str, dispatch_id: str, missing_tokens: int, keys: bytes
     ) -> None:
-        """Tell an engine's home of a request that is about to be sent."""
+        """Notify an engine's home of a request that is about to be sent."""
         notice = DispatchNotice(engine, dispatch_id, missing_tokens, keys)
         self.peers.notify(self.homes.home_of(engine), notice)
 
     def notify_finish(self, engine: str, dispatch_id: str, ran: bool) -> None:
-        """Tell an engine's home that a request has ended."""
+        """Notify an engine's home that a request has ended or did not run."""
         notice = FinishNotice(engine, dispatch_id, ran)
         self.peers.notify(self.homes.home_of(engine), notice)
 
@@ -200,16 +202,17 @@
             self.failing_since.pop(home, None)
             return result.unwrap()
         now = self.timers.now()
-        # One burst can miss the deadline many times at once, so that the time
-        # counts and not the number of misses.
+        # The time span decides, not the number of failures: in a burst, many
+        # queries can time out at the same moment.
         if now - self.failing_since.setdefault(home, now) >= FAILURE_SPAN_S:
             self.backoff_until[home] = now + HOME_BACKOFF_S
         return None
 
 
 def _warm_up_codec() -> None:
-    # The converter writes code for each class on first use, which takes
-    # milliseconds: the first questions after a start would miss their deadline.
+    # The converter generates code for each class on first use, which takes
+    # milliseconds. Without the warm-up, the first queries after a start would
+    # time out.
     query = CandidateQuery(("",), b"", (1,))
     answer = CandidateAnswer((CandidateState("", 1, 0.5, 1.0, 1, 1.0, 1.0, "v", True),))
     for message in (query, answer, DispatchNotice("", "", 1, b""), FinishNotice("", "")):
--- a/agaterail/claims.py
+++ b/agaterail/claims.py
@@ -1,8 +1,8 @@
-"""Claims of requests that run once: the fold of one partition and its queue.
+"""Claims on idempotency keys of requests that run at most once.
 
-The first claim of a key on the log wins, and every reader judges it alike,
-since the verdict depends on the records up to the claim's offset only. Nothing
-here reads a clock or a socket.
+The first claim of a key on the log wins. A verdict depends only on the records
+up to the offset of its claim, so every reader of the log reaches the same one.
+This module reads no clock and no socket.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 KEY_BYTES = 16
 KEY_HASH_PERSON = b"agaterail-claim"
 REQUEST_HASH_PERSON = b"agaterail-req"
-# A key is remembered until so many newer keys of its partition were claimed,
-# or until the log drops its record, whichever comes first.
+# Keys kept per partition. A key is evicted once this many newer ones have been
+# claimed, and is lost earlier if the log drops its record.
 MAX_KEYS = 20_000
 MAX_BODY_BYTES = 2048
 MAX_TOTAL_BODY_BYTES = 4 * 1024 * 1024
@@ -36,7 +36,7 @@
 
 
 class ClaimOutcome(enum.Enum):
-    """How a claimed request ended, as far as its claimer knows."""
+    """Result of a claimed request, as far as its claimer knows."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Claim:
-    """Wish to run the request of a key.
+    """Request of a daemon for the exclusive right to run a key's request.
 
     Attributes
     ----------
@@ -54,10 +54,10 @@
     claimer
         Peer address of the daemon that wants to run it.
     attempt
-        Unique id of this wish; a repeated append of it changes nothing.
+        Unique id of this claim, which makes repeated appends idempotent.
     request
-        Hash of what is asked, so that a key is not answered with the answer to
-        another request.
+        Hash of the request's contents. It prevents a key that is reused for
+        another request from being answered with the first request's answer.
     """
 
     key: bytes
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class Release:
-    """Word of a claimer that it did not and will not run its attempt."""
+    """Statement of a claimer that it did not and will not run its attempt."""
 
     key: bytes
     attempt: str
@@ -83,7 +83,7 @@
     digest
         Hash of the answer's body, in hex.
     body
-        The body itself when it is small.
+        The body itself if it is small.
     """
 
     key: bytes
@@ -97,7 +97,10 @@
 
 @attrs.frozen(kw_only=True)
 class ClaimBatch:
-    """One record: finishes and releases are folded before the claims."""
+    """Contents of one log record; claims are folded last.
+
+    Finishes are folded first, then releases.
+    """
 
     finishes: tuple[Finish, ...] = ()
     releases: tuple[Release, ...] = ()
@@ -105,7 +108,7 @@
 
 
 class VerdictKind(enum.Enum):
-    """What became of a claim."""
+    """Result of judging a claim."""
 
     WON = "won"
     IN_PROGRESS = "in_progress"
@@ -115,14 +118,14 @@
 
 @attrs.frozen(kw_only=True)
 class Verdict:
-    """Judgement of one attempt.
+    """Result of one attempt to claim a key.
 
     Attributes
     ----------
     holder, holding
-        Claimer and attempt that hold the key when another attempt does.
+        Claimer and attempt that hold the key, if another attempt holds it.
     request
-        Hash of the request that holds the key.
+        Hash of the request for which the key is held.
     finish
         Recorded outcome of the attempt that holds the key.
     """
@@ -137,7 +140,7 @@
 
 @attrs.define
 class KeyEntry:
-    """What is known of one key."""
+    """Winning claim of a key and its outcome, once recorded."""
 
     attempt: str
     claimer: str
@@ -146,14 +149,21 @@
 
 
 def key_hash(workspace: str, idempotency_key: str) -> bytes:
-    """Hash a key within its workspace; other workspaces' keys never collide."""
+    """Hash an idempotency key, keyed by its workspace.
+
+    Equal keys of different workspaces get different hashes.
+    """
     scope = blake2b(workspace.encode(), digest_size=KEY_BYTES, person=KEY_HASH_PERSON).digest()
     text = idempotency_key.encode("utf-8", "surrogateescape")
     return blake2b(text, digest_size=KEY_BYTES, key=scope).digest()
 
 
 def request_hash(*parts: bytes) -> bytes:
-    """Hash what a request asks for; the parts' lengths keep them apart."""
+    """Hash the parts of a request.
+
+    Each part is prefixed with its length, so that moving bytes from one part
+    to the next changes the hash.
+    """
     digest = blake2b(digest_size=KEY_BYTES, person=REQUEST_HASH_PERSON)
     for part in parts:
         digest.update(len(part).to_bytes(8, "big") + part)
@@ -171,18 +181,18 @@
 
 
 class Partition:
-    """Fold of the kept records of one partition.
+    """State of one partition, folded from its log records.
 
     Attributes
     ----------
     through
-        Offset of the last folded record; -1 before the first.
+        Offset of the last folded record, or -1 before the first.
     entries
         Keys in the order of their winning claims.
     rejected_attempts
-        Attempts that lost or were released, and so can never win. A claim
-        whose append was delayed can reach the log after its own release;
-        without this it would win the key for a claimer that has given up.
+        Attempts that lost or were released and can no longer win. A delayed
+        append can put a claim on the log after its own release; without this
+        check it would win the key for a claimer that has already given up.
     """
 
     def __init__(self, max_keys: int = MAX_KEYS) -> None:
@@ -190,7 +200,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget everything, as before the first read."""
+        """Discard all state, as before the first read."""
         self.through = NO_OFFSET
         self.entries: collections.OrderedDict[bytes, KeyEntry] = collections.OrderedDict()
         self.rejected_attempts: collections.OrderedDict[str, None] = collections.OrderedDict()
@@ -203,10 +213,10 @@
         Raises
         ------
         ValueError
-            If the record does not follow the last folded one.
+            If the record does not directly follow the last folded one.
         """
         if self.through not in (NO_OFFSET, offset - 1):
-            raise ValueError(f"offset {offset} does not follow {self.through}")
+            raise ValueError(f"cannot fold offset {offset} after offset {self.through}")
         self.through = offset
         for finish in batch.finishes:
             self._finish(finish)
@@ -247,7 +257,8 @@
         entry = self.entries.get(finish.key)
         if entry is None or entry.attempt != finish.attempt or entry.finish is not None:
             return
-        # Each decoded record brings its own copies of the same few words.
+        # Decoding creates a new string per record; interning shares the few
+        # distinct content types and saves memory.
         entry.finish = attrs.evolve(
             finish, attempt=entry.attempt, content_type=sys.intern(finish.content_type)
         )
@@ -268,15 +279,15 @@
 
 
 class PartitionQueue:
-    """One daemon's claims in one partition: what to append, what was judged.
+    """Queue of one daemon's claims, releases and finishes in one partition.
 
     Attributes
     ----------
     waiting
-        Attempts submitted here whose verdict is not known.
+        Attempts submitted to this daemon whose verdict is not yet known.
     appending
-        Batch whose append has not been answered; one at a time, so that a
-        slow log makes the batches larger and not more numerous.
+        Batch whose append is in flight. Only one batch is in flight at a time,
+        so a slow log leads to larger batches instead of more appends.
     """
 
     def __init__(self, max_keys: int = MAX_KEYS) -> None:
@@ -289,16 +300,16 @@
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing is left to append or to judge."""
+        """Whether nothing is queued, in flight or awaiting a verdict."""
         return not (self.waiting or self.has_work or self.appending)
 
     @property
     def has_work(self) -> bool:
-        """Tell whether something is left to append."""
+        """Whether anything is queued for the log."""
         return bool(self.claims or self.releases or self.finishes)
 
     def submit(self, claim: Claim) -> bool:
-        """Queue a claim; False when the queue is full."""
+        """Queue a claim; return False if the queue is full."""
         if len(self.waiting) >= MAX_QUEUED:
             return False
         if claim.attempt not in self.waiting:
@@ -319,12 +330,16 @@
             self.releases.append(release)
 
     def finish(self, finish: Finish) -> None:
-        """Queue the outcome of an attempt; a lost one leaves the key unknown."""
+        """Queue the outcome of an attempt.
+
+        If the queue is full, the outcome is dropped and the key stays without
+        a recorded one.
+        """
         if len(self.finishes) < MAX_QUEUED:
             self.finishes.append(finish)
 
     def next_batch(self) -> ClaimBatch | None:
-        """Take the next batch to append, unless one is being appended."""
+        """Return the next batch to append, or None while another is in flight."""
         if self.appending is not None or not self.has_work:
             return None
         self.appending = ClaimBatch(
@@ -335,15 +350,17 @@
         return self.appending
 
     def on_appended(self) -> None:
-        """Note that the batch is on the log."""
+        """Clear the in-flight batch after the log acknowledged it."""
         self.appending = None
 
     def on_append_failed(self, kind: LogErrorKind) -> list[Verdict]:
-        """Put the batch back, or give its claims up when the log is down.
+        """Requeue the batch, or fail its claims if they cannot be appended.
 
-        An unanswered batch goes back too: a record that is on the log twice
-        changes nothing, and the first copy to be read decides. An earlier copy
-        of a claim that is given up may be on the log, so it must be released.
+        Claims fail if the log is down or the record is too large; finishes and
+        releases are always requeued. An unanswered batch is requeued whole: a
+        second copy of its record on the log has no effect, because the first
+        copy decides. An earlier copy of a failed claim may already be on the
+        log, so the caller must release that claim.
         """
         batch, self.appending = self.appending, None
         if batch is None:
@@ -357,10 +374,10 @@
         return [self._unavailable(claim) for claim in waiting_claims]
 
     def on_records(self, records: Iterable[tuple[int, ClaimBatch]]) -> list[Verdict]:
-        """Fold records that were read and return verdicts on own attempts.
+        """Fold records from the log and return verdicts on this daemon's attempts.
 
-        Records that expired before they were read leave a gap: the fold starts
-        anew from the oldest kept one, as a new reader would.
+        Records that expired unread leave a gap. The partition is then reset and
+        folded from the oldest retained record, as by a new reader.
         """
         verdicts: list[Verdict] = []
         for offset, batch in records:
@@ -384,15 +401,15 @@
 
 
 class Ticket:
-    """One attempt of this daemon: settled exactly once.
+    """Pending claim of this daemon that is settled exactly once.
 
-    Verdicts can come twice or late, from the owner and from the log. Only the
-    first counts, so a request that was given up can never be started.
+    The owner and the log may both deliver a verdict, and either may be late.
+    Only the first one counts, so a request that was abandoned never starts.
 
     Attributes
     ----------
     verdict
-        Judgement; None until settled, and for an abandoned attempt.
+        Verdict on the claim; None until settled and for an abandoned claim.
     """
 
     def __init__(self, claim: Claim) -> None:
@@ -401,7 +418,7 @@
         self.settled = False
 
     def settle(self, verdict: Verdict) -> bool:
-        """Take a verdict; False when the ticket was settled before."""
+        """Accept a verdict; return False if the ticket was already settled."""
         if self.settled:
             return False
         self.settled = True
@@ -409,7 +426,7 @@
         return True
 
     def abandon(self) -> bool:
-        """Give up; False when a verdict came first."""
+        """Settle without a verdict; return False if a verdict came first."""
         if self.settled:
             return False
         self.settled = True
@@ -417,10 +434,10 @@
 
 
 def owners(members: Sequence[str], partitions: int = PARTITIONS) -> list[str | None]:
-    """Return the owner of each partition among the live routers."""
+    """Return the owner of each partition among the live daemons."""
     return [owner_of(number, members) for number in range(partitions)]
 
 
 def owner_of(partition: int, members: Sequence[str]) -> str | None:
-    """Return the daemon that owns a partition, or None without members."""
+    """Return the daemon that owns a partition, or None if there are no members."""
     return rendezvous.owner(stream_of(partition).encode(), members)
--- a/agaterail/heat.py
+++ b/agaterail/heat.py
@@ -1,4 +1,4 @@
-"""How often each prefix is asked for, and how many engines it should have."""
+"""Request rates of prefixes, and the number of engines that a hot one may use."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.define
 class KeyRate:
-    """Decayed request rate of one key and the replicas granted for it."""
+    """Decaying request rate of one key and the extra replicas granted for it."""
 
     rate_per_s: float = 0.0
     seen_at: float = 0.0
@@ -21,12 +21,13 @@
 
 
 class HotKeyTracker:
-    """Request rates that decay with a half-life, over all daemons.
+    """Estimates request rates over all daemons, with exponential decay.
 
     Attributes
     ----------
     members
-        Daemons that share the traffic evenly; each sees one part of a rate.
+        Number of daemons. Traffic is assumed to be spread evenly over them, so
+        the local rate is multiplied by this number.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
         self.keys: dict[bytes, KeyRate] = {}
 
     def on_request(self, key: bytes, now: float) -> int:
-        """Count a request and return how many engines more its key may use."""
+        """Count a request and return the number of extra engines for its key."""
         key_rate = self.keys.get(key)
         if key_rate is None:
             self._evict_coldest(now)
@@ -58,8 +59,9 @@
         replicas = min(MAX_EXTRA_REPLICAS, int(rate / self.replica_rate_per_s))
         if replicas >= key_rate.extra_replicas:
             return replicas
-        # Between the two limits nothing changes: each change of the list costs
-        # a recomputation, and a rate near one limit would flap.
+        # Hysteresis: between the two thresholds the number stays as it is. Each
+        # change of the candidates costs a recomputation, and a rate close to a
+        # single threshold would make the number flap.
         shrunk_replicas = min(
             MAX_EXTRA_REPLICAS, int(rate / (self.replica_rate_per_s * SHRINK_FACTOR))
         )
@@ -69,7 +71,8 @@
         return key_rate.rate_per_s * 0.5 ** ((now - key_rate.seen_at) / HALF_LIFE_S)
 
     def _rate_increment(self) -> float:
-        # A steady stream of r requests a second settles at a rate of r.
+        # ln(2) / half-life: a steady stream of r requests per second converges
+        # to a rate of r.
         return 0.6931 / HALF_LIFE_S
 
     def _evict_coldest(self, now: float) -> None:
--- a/agaterail/homes.py
+++ b/agaterail/homes.py
@@ -1,8 +1,9 @@
-"""Which daemon is the home of which engine.
+"""Assignment of engines to their home daemons.
 
-The home of an engine alone subscribes to its cache events and load. Daemons
-whose views of the members differ may name different homes for a while; then an
-engine is followed twice or a question finds no answer, and both are harmless.
+Only the home of an engine subscribes to its cache events and load reports.
+Daemons with different views of the members may temporarily disagree about a
+home. The engine is then followed twice, or a query gets no answer; both are
+harmless.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Engines are few beside the daemons at target size, so that an even spread
-# matters less than a quick rebuild while many daemons restart.
+# At the target size there are few engines per daemon, so a fast rebuild while
+# many daemons restart matters more than an even distribution.
 DIGESTS_PER_MEMBER = 3
 
 
@@ -25,7 +26,7 @@
     Parameters
     ----------
     own_address
-        This daemon; it always counts as live.
+        Address of this daemon, which always counts as live.
     """
 
     def __init__(self, own_address: str) -> None:
@@ -43,11 +44,11 @@
         return home
 
     def is_own(self, engine: str) -> bool:
-        """Tell whether this daemon is the home of an engine."""
+        """Return whether this daemon is the home of an engine."""
         return self.home_of(engine) == self.own_address
 
     def set_members(self, members: Iterable[str]) -> None:
-        """Change the live daemons."""
+        """Replace the live daemons and reassign the homes if they changed."""
         new_members = tuple(sorted({*members, self.own_address}))
         if new_members != self.members:
             self.members = new_members
@@ -55,6 +56,6 @@
             self.homes.clear()
 
     def set_engines(self, engines: Iterable[str]) -> None:
-        """Forget engines that no table names any more."""
+        """Drop cached homes of engines that are no longer in the tables."""
         for engine in self.homes.keys() - set(engines):
             del self.homes[engine]
--- a/agaterail/index.py
+++ b/agaterail/index.py
@@ -1,8 +1,9 @@
-"""What one engine probably has cached, as its home sees it.
+"""Index of the blocks that one engine probably has cached, kept by its home.
 
-Everything here is a hint: a wrong entry costs a recomputed prefix. Keys name
-their scope, so an entry of another workspace or of older weights cannot match;
-incarnations and gaps are what this module has to get right.
+The index is only a hint: a wrong entry costs the recomputation of a prefix.
+Block keys include their scope, so entries of another workspace or of older
+weights never match. Restarts of the engine and gaps in its events have to be
+handled here.
 """
 
 from __future__ import annotations
@@ -44,14 +45,18 @@
 
 
 def short_key(key: bytes) -> int:
-    """Return the leading bytes of a block key as a number that is not zero."""
+    """Return the leading bytes of a block key as a nonzero integer.
+
+    Zero marks an empty slot of ``KeyTable``.
+    """
     return int.from_bytes(key[:SHORT_KEY_BYTES], "little") or 1
 
 
 class KeyTable:
-    """Open-addressed table from short keys to 32-bit stamps.
+    """Open-addressing hash table from short keys to 32-bit stamps.
 
-    A slot takes 12 bytes in two arrays; a dict of numbers takes over 100.
+    A slot takes 12 bytes in two arrays; a dict entry of two integers takes
+    more than 100 bytes.
     """
 
     __slots__ = ("count", "keys", "stamps")
@@ -101,7 +106,7 @@
         self.stamps[slot] = stamp
 
     def remove(self, key: int) -> int | None:
-        """Remove a key and return its stamp, or None when it is absent."""
+        """Remove a key and return its stamp, or None if it is absent."""
         hole = self.slot_of(key)
         if hole < 0:
             return None
@@ -111,14 +116,14 @@
         return stamp
 
     def reserve(self, expected: int) -> None:
-        """Make room at once for so many keys."""
+        """Grow the table in one step to hold the expected number of keys."""
         slots = int(expected / MAX_LOAD_FACTOR) + 1
         if slots > len(self.keys):
             self._resize(slots)
 
     def _shift_back(self, hole: int) -> None:
-        # Later keys of the same run move back, so that no tombstones are
-        # needed: they would fill a table in which keys come and go all day.
+        # Backward-shift deletion: later keys of the same probe run move into
+        # the hole. Tombstones would fill up a table with constant turnover.
         keys, stamps = self.keys, self.stamps
         size = len(keys)
         slot = hole
@@ -145,14 +150,14 @@
 
 @attrs.frozen
 class Hit:
-    """Leading blocks that are probably cached.
+    """Leading blocks of a prompt that are probably cached.
 
     Attributes
     ----------
     depth
         Number of leading blocks with an entry.
     confidence
-        Expected cached part of ``depth``, 0 to 1.
+        Fraction of ``depth`` that is expected to be cached, 0 to 1.
     """
 
     depth: int = 0
@@ -161,7 +166,7 @@
 
 @attrs.define
 class Prediction:
-    """A block that a dispatched request will leave in the cache."""
+    """Block that a dispatched request is expected to leave in the cache."""
 
     dispatch_id: str
     until: float
@@ -173,13 +178,19 @@
     Attributes
     ----------
     incarnation
-        Incarnation that all entries belong to.
+        Incarnation of the engine to which all entries belong.
+    past_incarnations
+        Earlier incarnations, whose late answers are ignored.
     sequence
-        Last event number that was applied or is known to be lost.
+        Number of the last event that was applied or is known to be lost.
     needs_contents
-        Events were lost, or none of this incarnation was seen from its start.
+        The index must be rebuilt from the engine's cache contents: events were
+        lost, or those of this incarnation were not followed from its start.
+    generation
+        Number of the current gap-free span of events. Entries stamped with
+        another generation are suspect.
     lifetime_s
-        Observed time from the last use of a block to its eviction.
+        Moving average of the time from a block's last use to its eviction.
     """
 
     def __init__(self, now: float) -> None:
@@ -202,19 +213,19 @@
     # Events of the engine
 
     def on_incarnation(self, incarnation: str, asked_at: float, now: float) -> bool:
-        """Take note of an engine's incarnation; False for one that may be dead.
+        """Switch to an engine's incarnation; return False if it may be a past one.
 
         Parameters
         ----------
         asked_at
-            When the question was sent whose answer names the incarnation.
+            Time at which the query that returned the incarnation was sent.
         """
         if incarnation == self.incarnation:
             return True
-        # A question from before the current incarnation was learnt may have
-        # been answered by the one before. Taking it for a newer one would
-        # follow the dead engine and ignore the live one from then on. If there
-        # is a newer one, the next question finds it.
+        # A query sent before the current incarnation was known may have been
+        # answered by the previous one. Accepting that as a newer incarnation
+        # would follow the dead engine and ignore the live one from then on. If
+        # there really is a newer one, the next query finds it.
         if incarnation in self.past_incarnations or asked_at < self.incarnation_known_at:
             return False
         if self.incarnation:
@@ -227,21 +238,21 @@
         return True
 
     def on_weights(self, version: str) -> None:
-        """Drop the blocks of older weights."""
+        """Drop all entries if the engine's weights have changed."""
         if self.weights_version and version != self.weights_version:
             self.drop_all()
             self.needs_contents = True
         self.weights_version = version
 
     def on_events(self, batch: CacheEvents, asked_at: float, now: float) -> None:
-        """Apply events in order; repeated and late ones change nothing."""
+        """Apply events in order; repeated and late ones have no effect."""
         known = self.incarnation
         if not self.on_incarnation(batch.incarnation, asked_at, now):
             return
         if known != batch.incarnation:
-            # The batch was asked for with a number of the old incarnation:
-            # taking its numbers would skip the first events of the new one,
-            # and evictions among them would leave false entries.
+            # The batch was requested with a sequence number of the old
+            # incarnation. Adopting its numbers would skip the first events of
+            # the new one, and evictions among them would leave stale entries.
             return
         for event in sorted(batch.events, key=lambda item: item.sequence):
             self._on_event(event, now)
@@ -250,7 +261,7 @@
             self.sequence = batch.last_sequence
 
     def on_contents(self, contents: CacheContents, asked_at: float, now: float) -> bool:
-        """Replace all entries; False when the contents are older than the events."""
+        """Replace all entries; return False if the contents are out of date."""
         if not self.on_incarnation(contents.incarnation, asked_at, now):
             return False
         if contents.sequence < self.sequence:
@@ -266,25 +277,25 @@
         return True
 
     def set_capacity(self, blocks: int) -> None:
-        """Make room once for all blocks that the engine can hold.
+        """Allocate the table for all blocks that the engine can hold.
 
-        Growing step by step would stop the process for tens of milliseconds at
-        the largest sizes.
+        Growing it incrementally would block the process for tens of
+        milliseconds at the largest sizes.
         """
         if blocks != self.capacity:
             self.capacity = blocks
             self.table.reserve(blocks)
 
     def drop_all(self) -> None:
-        """Forget every entry."""
+        """Discard all entries and predictions."""
         self.table = KeyTable(self.capacity)
         self.predicted.clear()
         self.dispatches.clear()
 
-    # Dispatches of the routers
+    # Dispatches by the daemons
 
     def predict(self, dispatch_id: str, keys: Sequence[int], now: float, until: float) -> None:
-        """Expect the keys of a dispatched request to be cached, for a bounded time."""
+        """Predict that the keys of a dispatched request are cached until a deadline."""
         new: list[int] = []
         for key in keys:
             slot = self.table.slot_of(key)
@@ -297,14 +308,14 @@
             self.dispatches[dispatch_id] = tuple(new)
 
     def withdraw(self, dispatch_id: str) -> None:
-        """Take back what a dispatch that did not run had predicted."""
+        """Remove the predictions of a dispatch that did not run."""
         for key in self.dispatches.pop(dispatch_id, ()):
             prediction = self.predicted.get(key)
             if prediction is not None and prediction.dispatch_id == dispatch_id:
                 del self.predicted[key]
 
     def expire(self, now: float) -> None:
-        """Drop predictions past their time and entries that have surely gone."""
+        """Drop expired predictions and suspect entries that are too old to be cached."""
         for dispatch_id, keys in list(self.dispatches.items()):
             found = [self.predicted.get(key) for key in keys]
             if all(item is None or item.until <= now for item in found):
@@ -312,17 +323,17 @@
         if self.lifetime_s is not None and len(self.table) > self.capacity:
             self._sweep(now, max(MIN_SUSPECT_AGE_S, MAX_SUSPECT_LIFETIMES * self.lifetime_s))
 
-    # Questions
+    # Lookups
 
     def lookup(self, keys: Sequence[int], depths: Sequence[int], now: float) -> Hit:
-        """Return how deep a prompt is cached.
+        """Return how many leading blocks of a prompt are probably cached.
 
         Parameters
         ----------
         keys
             Short keys of some leading blocks, in order.
         depths
-            Number of blocks up to the end of each of them.
+            Number of blocks up to and including each of these keys.
         """
         depth, expected, lowest = 0, 0.0, 1.0
         for key, end in zip(keys, depths, strict=True):
@@ -335,7 +346,7 @@
         return Hit(depth, expected / depth) if depth else Hit()
 
     def confidence(self, key: int, now: float) -> float:
-        """Return how probably a block is cached."""
+        """Return the probability that a block is cached."""
         slot = self.table.slot_of(key)
         if slot >= 0:
             stamp = self.table.stamps[slot]
@@ -347,7 +358,7 @@
             return PREDICTED_CONFIDENCE
         return 0.0
 
-    # Private parts
+    # Internals
 
     def _on_event(self, event: CacheEvent, now: float) -> None:
         if event.sequence <= self.sequence:
@@ -382,8 +393,9 @@
         self.lifetime_s += LIFETIME_EWMA_WEIGHT * (age_s - self.lifetime_s)
 
     def _mark_gap(self, lost: int) -> None:
-        # A lost eviction leaves an entry that is not cached any more. All
-        # entries become suspect, by one number instead of a pass over them.
+        # A lost eviction leaves an entry whose block is no longer cached.
+        # Advancing the generation makes all entries suspect without visiting
+        # each of them.
         self.gaps += 1
         self.lost_events += lost
         self.needs_contents = True
@@ -392,8 +404,8 @@
         self.generation += 1
 
     def _mark_all_suspect(self) -> None:
-        # The number is about to be used again: entries that still carry it
-        # from 255 gaps ago would count as trusted.
+        # The generation counter is about to wrap. Entries that still carry a
+        # number from 255 gaps ago would count as trusted again.
         stamps = self.table.stamps
         for slot, stamp in enumerate(stamps):
             stamps[slot] = stamp & ~MAX_GENERATION | SUSPECT_GENERATION
--- a/agaterail/leases.py
+++ b/agaterail/leases.py
@@ -1,8 +1,8 @@
-"""The lease of who gives orders to engines, kept on the log.
+"""Log-based lease that elects the daemon which sends orders to engines.
 
-A record is accepted iff no other record stands between it and the record that
-its writer had read last. So the first offset wins without a coordinator, and a
-reader needs no state older than the record before.
+A record is accepted if and only if it directly follows the last record that
+its writer had read. The first append therefore wins without a coordinator, and
+a reader needs no state beyond the previous record.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class LeaseAction(enum.Enum):
-    """What a lease record does."""
+    """Effect of a lease record."""
 
     ACQUIRE = "acquire"
     RENEW = "renew"
@@ -40,9 +40,9 @@
     after
         Offset of the last lease record that the writer had read.
     fencing
-        Offset of the acquire record that a renewal or release belongs to.
+        Offset of the acquire record that a renewal or release refers to.
     nonce
-        Names this append, so that its writer can tell it from a resent one.
+        Unique id of this append, by which its writer recognizes it.
     """
 
     holder: str
@@ -55,16 +55,16 @@
 
 @attrs.frozen
 class LeaseView:
-    """The lease as one reader of the stream knows it.
+    """State of the lease as seen by one reader of the stream.
 
     Attributes
     ----------
     holder
-        Holder of the last accepted record; empty when released or never held.
+        Holder of the last accepted record; empty if released or never held.
     fencing
         Offset of the accepted acquire record.
     last_offset
-        Offset of the last record read, accepted or not.
+        Offset of the last record read, whether accepted or not.
     """
 
     holder: str = ""
@@ -77,13 +77,13 @@
 def fold_lease(
     view: LeaseView, record: LeaseRecord, offset: int, gap: bool = False
 ) -> LeaseView:
-    """Judge one record and return the lease after it.
+    """Apply one record and return the resulting view.
 
     Parameters
     ----------
     gap
-        Records before this one expired unread. It is then taken as accepted,
-        which only makes the reader wait longer before it tries to acquire.
+        Records before this one expired unread. The record is then assumed to
+        be accepted, which can only delay the reader's attempt to acquire.
     """
     advanced = attrs.evolve(view, last_offset=offset)
     if not gap and record.after != view.last_offset:
@@ -101,20 +101,21 @@
 
 
 class LeaseKeeper:
-    """One daemon's side of the lease: what to append and what it holds.
+    """Acquires, renews and releases the lease for one daemon.
 
-    No clock of another host is read. The holder counts its term from before
-    the append was sent, and a rival counts the same term from when it read
-    the record, which is later; so the holder always stops first, as long as
-    the rates of the two clocks differ by less than the margin.
+    Clocks of other hosts are never compared. The holder counts its term from
+    before it sent the append; other candidates count the same term from when
+    they read the record, which is later. The holder therefore always stops
+    first, as long as the rates of the two clocks differ by less than
+    ``CLOCK_RATE_MARGIN``.
 
     Parameters
     ----------
     holder
-        Name of this process, new at each start: a restarted daemon must not
-        take itself for the holder of its former life.
+        Name of this process, unique to each start, so that a restarted daemon
+        does not mistake itself for the holder of its previous lease.
     make_nonce
-        Source of unique names for appends.
+        Generator of unique ids for appends.
     """
 
     def __init__(self, holder: str, make_nonce: Callable[[], str]) -> None:
@@ -127,7 +128,7 @@
         self.held_until = float("-inf")
 
     def observe(self, record: LeaseRecord, offset: int, now: float, gap: bool = False) -> None:
-        """Take in one record of the stream in order."""
+        """Process the next record of the stream; records must come in order."""
         before = self.view
         self.view = fold_lease(before, record, offset, gap)
         accepted = self.view.nonce == record.nonce and before.nonce != record.nonce
@@ -141,20 +142,20 @@
         self.held_until = sent_at + record.term_s
 
     def skip(self, offset: int, now: float) -> None:
-        """Pass over records that expired unread or cannot be decoded.
+        """Skip records that expired unread or cannot be decoded.
 
-        Someone may have acquired the lease in them and be within its term.
-        The holder is therefore unknown, also to a daemon that held it itself,
-        and the wait for a whole term starts now. The next append names the
-        last offset as every other reader does: one that rested on an older
-        record would count here and nowhere else.
+        One of them may have acquired the lease, and its term may still be
+        running. The holder is therefore unknown, even if this daemon held the
+        lease, and a wait for a whole term starts now. The next append refers
+        to the skipped offset, as those of all other readers do: a record that
+        refers to an older one would be accepted by this daemon only.
         """
         self.view = LeaseView(holder=UNKNOWN_HOLDER, last_offset=offset)
         self.changed_at = now
         self.held_until = float("-inf")
 
     def remaining_s(self, now: float) -> float:
-        """Return the seconds for which orders may still be given; 0 without the lease."""
+        """Return the seconds for which orders may still be sent; 0 without the lease."""
         if self.view.holder != self.holder:
             return 0.0
         return max(0.0, self.held_until - now)
@@ -165,8 +166,8 @@
         Parameters
         ----------
         rank
-            Place of this daemon among the candidates; a lower one tries first,
-            so that most changes of holder see a single append.
+            Rank of this daemon among the candidates. Lower ranks try first, so
+            that most changes of holder take a single append.
         """
         if not self.caught_up:
             return None
@@ -181,21 +182,26 @@
         return self._record(LeaseAction.ACQUIRE, NO_OFFSET)
 
     def release(self) -> LeaseRecord | None:
-        """Return the record that gives the lease up and stop giving orders."""
+        """Give up the lease and return the record that releases it."""
         if self.view.holder != self.holder:
             return None
         self.held_until = float("-inf")
         return self._record(LeaseAction.RELEASE, self.view.fencing)
 
     def on_send(self, record: LeaseRecord, now: float) -> None:
-        """Note the time before an append is sent."""
+        """Record the time just before an append is sent.
+
+        Only the latest append is remembered. An earlier one that is accepted
+        late grants no time.
+        """
         self.sent_at = {record.nonce: now}
 
     def _renewal(self, now: float) -> LeaseRecord | None:
         remaining = self.remaining_s(now)
         if remaining <= 0.0:
-            # A lapsed lease is not renewed: a rival may have waited it out
-            # already. It is acquired anew, under a new fencing number.
+            # An expired lease is not renewed, because another candidate may
+            # already have waited for its end. It is acquired again, under a
+            # new fencing number.
             return self._record(LeaseAction.ACQUIRE, NO_OFFSET)
         if remaining > self.view.term_s - RENEW_AFTER_S:
             return None
--- a/agaterail/limits.py
+++ b/agaterail/limits.py
@@ -1,8 +1,9 @@
-"""Limits of a route as shares of one daemon; no clock and no counter service.
+"""Route limits, divided among the daemons without a shared counter service.
 
-Every daemon takes its share by itself from the live daemons that it knows. While
-views differ the sum over all daemons may be off: with n daemons in one view and
-m in another by at most the factor max(n, m) / min(n, m), until the views agree.
+Each daemon computes its own share from the live daemons that it knows. While
+the views of the daemons differ, the sum of the shares may be wrong: with n
+daemons in one view and m in another, by a factor of at most
+max(n, m) / min(n, m). This module reads no clock.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 
 
 class TokenBucket:
-    """Tokens that come at a rate; the last request taken may leave a debt.
+    """Token bucket whose balance may become negative by one request.
 
-    A request larger than the whole bucket would otherwise never be served.
+    Otherwise a request larger than the whole bucket would never be served.
     """
 
     def __init__(self, rate: float, now: float) -> None:
@@ -29,13 +30,13 @@
         self.filled_at = now
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Change the rate; what was spent stays spent."""
+        """Change the rate and keep the current balance, up to the new burst size."""
         self._refill(now)
         self.rate = rate
         self.tokens = min(self.tokens, rate * BURST_S)
 
     def take(self, amount: float, now: float) -> float:
-        """Take tokens; returns 0, or the seconds to wait when there are none."""
+        """Take tokens and return 0, or return the seconds to wait if there are none."""
         self._refill(now)
         if self.tokens <= 0.0:
             return (1.0 - self.tokens) / self.rate
@@ -54,12 +55,12 @@
 
 
 def concurrency_share(limit: int, key: bytes, own: str, members: Sequence[str]) -> int:
-    """Return this daemon's part of a limit of concurrent requests.
+    """Return this daemon's share of a limit on concurrent requests.
 
-    The parts add up to the limit, the remainder going to the first daemons in
-    rendezvous order of the route. A limit below the number of daemons gives
-    each of them one: a daemon with none would refuse what its callers, whom the
-    balancer has bound to it, may well send.
+    The shares add up to the limit; the remainder goes to the first daemons in
+    the rendezvous order of the route. If the limit is below the number of
+    daemons, each one gets a share of 1: callers are bound to a daemon by the
+    load balancer, and a daemon without a share would refuse all their requests.
     """
     count = len(members)
     if own not in members or count < 2:
@@ -71,5 +72,5 @@
 
 
 def rate_share(rate: float, own: str, members: Sequence[str]) -> float:
-    """Return this daemon's part of a rate."""
+    """Return this daemon's share of a rate limit."""
     return rate / len(members) if own in members else rate
--- a/agaterail/loads.py
+++ b/agaterail/loads.py
@@ -1,4 +1,4 @@
-"""Queue of one engine, from its lagging reports and the dispatches since."""
+"""Estimate of one engine's queue from its delayed reports and recent dispatches."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 if TYPE_CHECKING:
     from agaterail.engines import LoadReport
 
-# A report and a dispatch notice that cross on the way may be counted in the
-# wrong order; counting a request twice for this long is the safe side.
+# A dispatch notice may arrive out of order with a report. Requests sent within
+# this time before the report's measurement are counted in addition to it, since
+# counting a request twice is safer than missing it.
 REPORT_SLACK_S = 0.005
 MAX_DISPATCHES = 4096
 MAX_DISPATCH_AGE_S = 60.0
@@ -19,7 +20,7 @@
 
 @attrs.define
 class SentRequest:
-    """One request that a router sent to the engine."""
+    """Request that a daemon sent to the engine."""
 
     dispatch_id: str
     sent_at: float
@@ -27,17 +28,18 @@
 
 
 class EngineLoad:
-    """Expected wait at one engine.
+    """Expected queueing delay of one engine.
 
-    A report is old when it arrives. The queue is therefore rebuilt from the
-    report, the dispatches of all routers since the moment it describes, and
-    the time that the engine has had to work them off. Without the dispatches
-    all routers would send to the engine that was idle in the last report.
+    A report is already out of date when it arrives. The queue is therefore
+    estimated from the report, the dispatches of all daemons since its
+    measurement, and the time that the engine has had to process them. Without
+    the dispatches, all daemons would send to the engine that was idle in the
+    last report.
 
     Attributes
     ----------
     measured_at
-        Second of this host's clock that the last report describes.
+        Time of the last report's measurement, on this host's clock.
     """
 
     def __init__(self, prefill_ms_per_token: float) -> None:
@@ -50,12 +52,12 @@
         self.backlog_at = 0.0
 
     def on_report(self, report: LoadReport, asked_at: float) -> bool:
-        """Start anew from a report; False when it says nothing newer.
+        """Rebuild the estimate from a report; return False if it is not newer.
 
         Parameters
         ----------
         asked_at
-            Second of this host's clock at which the report was asked for.
+            Time on this host's clock at which the report was requested.
         """
         measured_at = asked_at - report.age_ms / 1e3
         known = self.report
@@ -72,21 +74,21 @@
         return True
 
     def on_restart(self) -> None:
-        """Forget the requests that an engine lost by a restart."""
+        """Discard the requests that the engine lost in a restart."""
         self.sent.clear()
         self.running.clear()
         self.report = None
         self.backlog_ms = 0.0
 
     def on_dispatch(self, dispatch_id: str, missing_tokens: int, now: float) -> None:
-        """Count a request from the moment it is sent."""
+        """Add a request to the queue when it is sent."""
         self.sent.append(SentRequest(dispatch_id, now, missing_tokens))
         self.running[dispatch_id] = now
         self._advance(now)
         self.backlog_ms += missing_tokens * self.prefill_ms_per_token
 
     def on_finish(self, dispatch_id: str, ran: bool) -> None:
-        """Release a request; one that did not run never was in the queue."""
+        """Mark a request as finished; one that did not run leaves the queue too."""
         self.running.pop(dispatch_id, None)
         if ran:
             return
@@ -97,7 +99,7 @@
                 return
 
     def expire(self, now: float) -> None:
-        """Forget requests whose finish was never told."""
+        """Discard old requests for which no finish notice arrived."""
         while self.sent and self.sent[0].sent_at < now - MAX_DISPATCH_AGE_S:
             self.sent.popleft()
         for dispatch_id, sent_at in list(self.running.items()):
@@ -105,11 +107,11 @@
                 del self.running[dispatch_id]
 
     def queue_ms(self, now: float) -> float:
-        """Return the expected wait before a new request is prefilled."""
+        """Return the expected wait of a new request before its prefill."""
         return max(0.0, self.backlog_ms - (now - self.backlog_at) * 1e3)
 
     def age_ms(self, now: float) -> float:
-        """Return the age of the report, or -1 before the first."""
+        """Return the age of the last report, or -1 before the first."""
         return -1.0 if self.report is None else (now - self.measured_at) * 1e3
 
     def _rebuild(self) -> None:
--- a/agaterail/members.py
+++ b/agaterail/members.py
@@ -1,8 +1,8 @@
-"""Which daemons are live, from the platform's list and own observation.
+"""Local view of the live daemons, from the platform's list and observed failures.
 
-No daemon tells another who is live: the view costs no message of its own, so
-its cost does not grow with the number of daemons. Two views may differ; a wrong
-one costs a hint, never a wrong answer.
+Daemons do not gossip about membership. The view takes no messages of its own,
+so its cost does not grow with the number of daemons. Views may differ; a wrong
+view costs a cache hint but never causes a wrong answer.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 @attrs.define
 class Suspicion:
-    """Failures of one member since it was last heard of.
+    """Consecutive failures of one member since it last answered.
 
     Attributes
     ----------
     since, last
-        Monotonic seconds of the first and last failure in a row.
+        Monotonic times of the first and the last failure in a row, in seconds.
     ejected_until
-        Monotonic second until which the member is left out.
+        Monotonic time until which the member is not considered live.
     ejection_s
-        Length of the last absence.
+        Duration of the last ejection.
     """
 
     since: float
@@ -48,14 +48,14 @@
 
 
 class MemberView:
-    """Live daemons as this daemon sees them.
+    """Live daemons as seen by this daemon.
 
     Attributes
     ----------
     listed
-        Routers on the platform's list; None before its first answer.
+        Daemons on the platform's list; None before its first answer.
     contacts
-        Members heard of lately, the latest last.
+        Members heard from recently, the most recent last.
     """
 
     def __init__(self, own_address: str) -> None:
@@ -67,11 +67,11 @@
         self.contacts: collections.OrderedDict[str, None] = collections.OrderedDict()
 
     def on_list(self, addresses: Iterable[str]) -> None:
-        """Take the routers that the platform lists as live."""
+        """Update the daemons that the platform lists as live."""
         listed = frozenset(addresses)
         if not listed and self.listed:
-            # An empty list is a fault of the platform: this daemon lives. To
-            # believe it would move every engine's home here at once.
+            # An empty list is a fault of the platform, since this daemon is
+            # live. Accepting it would move the homes of all engines here.
             return
         self.listed = listed
         self.suspicions = {
@@ -80,7 +80,7 @@
         self.drained = {key: until for key, until in self.drained.items() if key in listed}
 
     def on_heard(self, address: str) -> None:
-        """Note an answer or a message of a member."""
+        """Record an answer or message from a member and clear its failures."""
         self.suspicions.pop(address, None)
         self.contacts.pop(address, None)
         self.contacts[address] = None
@@ -88,10 +88,12 @@
             self.contacts.popitem(last=False)
 
     def on_missed(self, address: str, weight: int, now: float) -> None:
-        """Note a call or query that a member did not answer.
+        """Record a call or query that a member did not answer.
 
-        Failures must span a second: after a pause of this process all its
-        queries time out at once, and that says nothing of the others.
+        The member is ejected once its failures reach ``EJECTION_WEIGHT`` and
+        span ``MIN_FAILURE_SPAN_S``; repeated ejections get longer. The span
+        matters because after a pause of this process all its queries time out
+        at once, which says nothing about the other members.
         """
         suspicion = self.suspicions.get(address)
         if suspicion is None:
@@ -110,11 +112,14 @@
             suspicion.since, suspicion.weight = suspicion.ejected_until, 0
 
     def on_drain(self, address: str, now: float) -> None:
-        """Note a member's word that it leaves, until the list has caught up."""
+        """Record a member's drain notice, which overrides the platform's list.
+
+        It is kept for ``DRAIN_TTL_S`` or until the list drops the member.
+        """
         self.drained[address] = now + DRAIN_TTL_S
 
     def live(self, now: float) -> tuple[str, ...]:
-        """Return the members, sorted; this daemon is one unless it leaves."""
+        """Return the live members, sorted; includes this daemon unless it is leaving."""
         found = {address for address in self.listed or () if self._is_live(address, now)}
         if self.leaving:
             found.discard(self.own_address)
--- a/agaterail/policies/__init__.py
+++ b/agaterail/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Ways to choose the target of a request."""
+"""Base class and data types of the policies that choose a request's target."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 
 @attrs.frozen(kw_only=True)
 class Placement:
-    """A request that needs a target.
+    """Request for which a target is to be chosen.
 
     Attributes
     ----------
     prefix
-        Named prefix; None for services.
+        Block keys of the prompt; None for services.
     deadline_ms
         Time left until the first byte is due.
     now
-        Second of the timer service.
+        Current time of the timer service, in seconds.
     views
-        What homes said of the candidates; empty for policies that ask nothing.
+        States of the candidates by address, as reported by their homes; empty
+        for policies that do not query homes.
     kept
-        The kept store, when blocks of the prompt can be imported from it.
+        KV store from which blocks of the prompt can be imported, if any.
     """
 
     pool: Pool
@@ -46,20 +47,20 @@
 
 @attrs.frozen(kw_only=True)
 class Decision:
-    """A chosen target and why.
+    """Chosen target and the reason for the choice.
 
     Attributes
     ----------
     hit_blocks
         Leading blocks expected in the target's cache.
     expected_ms
-        Expected time to the first token, or None when it was not estimated.
+        Expected time to first token, or None if it was not estimated.
     queue_ms
         Expected wait in the target's queue.
     transfer
-        Blocks to import before the target prefills.
+        Blocks to import before the target starts the prefill.
     terms
-        Terms of the cost in milliseconds, by name, for the log line.
+        Cost terms in milliseconds, by name, for the log message.
     """
 
     address: str
@@ -77,8 +78,9 @@
     Attributes
     ----------
     queries_homes
-        The policy chooses among its own candidates, with what their homes
-        know of them; others see all usable targets and ask nothing.
+        Whether the policy chooses among its own ``candidates``, using the
+        states reported by their homes. Other policies choose among all usable
+        targets without any query.
     """
 
     name: str
@@ -87,9 +89,9 @@
     def candidates(
         self, placement: Placement, excluded: Collection[str]
     ) -> Sequence[TargetEntry]:
-        """Return the targets whose homes should be asked, best first."""
+        """Return the targets whose homes should be queried, best first."""
         return ()
 
     @abc.abstractmethod
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
-        """Return a decision, or None when no target can make the deadline."""
+        """Return a decision, or None if no target can meet the deadline."""
--- a/agaterail/policies/cost.py
+++ b/agaterail/policies/cost.py
@@ -1,4 +1,4 @@
-"""Choose the target with the lowest expected cost in milliseconds."""
+"""Policy that chooses the target with the lowest expected cost in milliseconds."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 
 HASH_CANDIDATES = 4
 DOMAIN_PENALTY_MS = 2.0
-# Without answers from the homes, the engine that this daemon sent the prefix to
-# last, or else the first by hash, holds it about every second time.
+# Hit rate assumed without answers from the homes, for the engine to which this
+# daemon last sent the prefix, or else for the first engine by hash.
 DEFAULT_HIT_SHARE = 0.5
 MAX_LAST_TARGETS = 4096
 DEFAULT_QUEUE_SHARE = 0.5
-# Requests for one cold prefix that arrive at several daemons at once must meet
-# at one engine although none is told of the others yet. Each place further down
-# the order costs this part of the prefill, so that only a queue moves them.
+# Requests for one cold prefix that reach several daemons at the same time
+# should go to one engine, although no daemon knows of the others' requests yet.
+# Each further rank in the hash order costs this share of the prefill, so only a
+# queue moves a request to another engine.
 RANK_PENALTY_SHARE = 0.02
 LEAST_LOADED_INTERVAL_S = 0.1
 QUEUE_TTL_S = 2.0
@@ -41,17 +42,17 @@
 
 @attrs.define
 class CostTerms:
-    """Cost of one target, in milliseconds by cause.
+    """Cost of one target, split into terms in milliseconds.
 
-    Not frozen: a frozen one takes three times as long to make, and each
-    decision makes one for each candidate.
+    Not frozen: a frozen instance takes three times as long to create, and each
+    decision creates one per candidate.
 
     Attributes
     ----------
     miss
-        Expected prefill of missing tokens, times the route's weight.
+        Expected prefill time of missing tokens, times the route's weight.
     prefill
-        The same without the weight.
+        Expected prefill time without the weight.
     """
 
     queue: float
@@ -63,17 +64,17 @@
 
     @property
     def total(self) -> float:
-        """Return what the policy minimises."""
+        """Cost that the policy minimizes."""
         return self.queue + self.miss + self.domain + self.rank + self.transfer
 
     @property
     def expected_ms(self) -> float:
-        """Return the expected time to the first token."""
+        """Expected time to first token."""
         return self.queue + self.prefill + self.transfer
 
 
 class PoolRanking:
-    """Hash order of one pool's targets."""
+    """Order of one pool's targets by consistent hashing."""
 
     def __init__(self, targets: tuple[TargetEntry, ...]) -> None:
         self.targets = targets
@@ -81,13 +82,13 @@
         self.ring = Ring([entry.address for entry in targets])
 
     def ranked(self, key: bytes, count: int) -> list[TargetEntry]:
-        """Return the leading targets for a key, best first."""
+        """Return the first targets for a key, best first."""
         number = int.from_bytes(key[:NUMBER_BYTES], "little")
         return [self.targets[position] for position in self.ring.ranked(number, count)]
 
 
 class LeastLoadedTracker:
-    """The engine with the shortest queue among those heard of lately."""
+    """Finds the engine with the shortest queue among those reported recently."""
 
     def __init__(self) -> None:
         self.queues: dict[str, tuple[float, float]] = {}
@@ -96,16 +97,17 @@
         self.pruned_at = -QUEUE_TTL_S
 
     def update(self, views: Collection[CandidateState], now: float) -> None:
-        """Note the queues that homes reported."""
+        """Record the queues that homes reported."""
         for view in views:
             self.queues[view.engine] = (view.queue_ms, now)
 
     def find(self, now: float) -> str:
-        """Return an address, or nothing; searched anew only now and then.
+        """Return the address of the least loaded engine, or an empty string.
 
-        A search at each request would cost more than the decision itself with
-        hundreds of engines. The home is asked before the engine is chosen, so
-        that an answer from before the last search does no harm.
+        The result is cached for ``LEAST_LOADED_INTERVAL_S``: with hundreds of
+        engines, a search per request would cost more than the decision itself.
+        A stale result does no harm, because the engine's home is queried before
+        the engine is chosen.
         """
         if now - self.searched_at >= LEAST_LOADED_INTERVAL_S:
             self.searched_at = now
@@ -124,32 +126,32 @@
 
 
 class LastTargets:
-    """Where this daemon sent each of the latest prefixes."""
+    """Engine to which this daemon last sent each recent prefix (an LRU cache)."""
 
     def __init__(self) -> None:
         self.addresses: OrderedDict[bytes, str] = OrderedDict()
 
     def record(self, key: bytes, address: str) -> None:
-        """Remember the engine of a prefix."""
+        """Record the engine of a prefix."""
         self.addresses[key] = address
         self.addresses.move_to_end(key)
         if len(self.addresses) > MAX_LAST_TARGETS:
             self.addresses.popitem(last=False)
 
     def find(self, key: bytes) -> str:
-        """Return the engine of a prefix, or nothing."""
+        """Return the address of a prefix's last engine, or an empty string."""
         return self.addresses.get(key, "")
 
 
 class CostPolicy(Policy):
-    """Expected queue plus weighted expected recomputation.
+    """Minimizes the expected queue plus the weighted expected recomputation.
 
     Parameters
     ----------
     own_domain
-        Failure domain of this host; other domains cost a little more.
+        Failure domain of this host; targets in other domains cost slightly more.
     count
-        Candidates by hash order, before hot prefixes widen the list.
+        Number of candidates by hash order, before the extra ones of hot prefixes.
     """
 
     name = "cost"
@@ -173,7 +175,10 @@
     def candidates(
         self, placement: Placement, excluded: Collection[str]
     ) -> Sequence[TargetEntry]:
-        """Return the first targets by hash, the last used and the least loaded one."""
+        """Return the first targets by hash, the last used and the least loaded one.
+
+        A random target stands in for the least loaded one if none is known.
+        """
         key = placement_key(placement)
         ranking = self._ranking(placement.pool)
         count = self.count + self.hot_keys.on_request(key, placement.now)
@@ -186,7 +191,7 @@
         return chosen
 
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
-        """Return the cheapest target; the order of ``targets`` breaks ties."""
+        """Return the cheapest target; ties go to the first in ``targets``."""
         if not targets:
             return None
         if placement.prefix is None:
@@ -248,10 +253,11 @@
         )
 
     def _plan_import(self, placement: Placement, state: TargetState) -> Transfer | None:
-        """Plan an import for the chosen engine; imports do not sway the choice.
+        """Plan an import for the chosen engine.
 
-        Priced into the cost, cheap imports spread prefixes over the engines,
-        and the copies evict what other requests need (decision 0202).
+        Imports do not influence the choice. If they were part of the cost, cheap
+        imports would spread prefixes over the engines, and the copies would
+        evict blocks that other requests need (decision 0202).
         """
         pool, view = placement.pool, placement.views.get(state.address)
         if placement.kept is None or view is None:
@@ -293,7 +299,8 @@
             address=state.address,
             reason="unknown" if view is None else f"cost_{'hit' if view.depth else 'cold'}",
             hit_blocks=0 if view is None else view.depth,
-            # Own requests say too little of a queue to refuse a request by it.
+            # This daemon's own requests alone are too weak an estimate of the
+            # queue to refuse a request.
             expected_ms=None if view is None else terms.expected_ms,
             queue_ms=terms.queue,
             transfer=transfer,
--- a/agaterail/policies/simple.py
+++ b/agaterail/policies/simple.py
@@ -1,4 +1,4 @@
-"""Policies that look at no cache: the baselines of the measurements."""
+"""Policies that ignore engine caches, used as baselines in benchmarks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RandomPolicy(Policy):
-    """Any target, evenly."""
+    """Chooses a target uniformly at random."""
 
     name = "random"
 
@@ -27,14 +27,14 @@
         self.random = random.Random(seed)
 
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
-        """Return any target."""
+        """Return a random target."""
         if not targets:
             return None
         return Decision(address=self.random.choice(targets).address, reason="random")
 
 
 class RoundRobinPolicy(Policy):
-    """Each target in turn."""
+    """Chooses the targets in turn."""
 
     name = "round_robin"
 
@@ -42,7 +42,7 @@
         self.counter = itertools.count()
 
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
-        """Return the next target."""
+        """Return the next target in turn."""
         if not targets:
             return None
         return Decision(
@@ -51,12 +51,12 @@
 
 
 class LeastInFlightPolicy(Policy):
-    """The target with the fewest requests of this host."""
+    """Chooses the target with the fewest requests in flight from this host."""
 
     name = "least_in_flight"
 
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
-        """Return the least busy target."""
+        """Return the target with the fewest requests in flight."""
         if not targets:
             return None
         least = min(targets, key=lambda state: state.in_flight)
@@ -64,12 +64,12 @@
 
 
 class PureHashPolicy(Policy):
-    """The first target in rendezvous order of the prefix."""
+    """Chooses the first target in the rendezvous order of the prefix."""
 
     name = "pure_hash"
 
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
-        """Return the first target by hash."""
+        """Return the first target in rendezvous order."""
         addresses = [state.address for state in targets]
         chosen = rendezvous.owner(placement_key(placement), addresses)
         if chosen is None:
@@ -78,12 +78,15 @@
 
 
 class BoundedLoadPolicy(Policy):
-    """The first target in rendezvous order that is not far above the mean load."""
+    """Rendezvous hashing with bounded loads.
+
+    Skips targets whose load has reached ``BOUNDED_LOAD_FACTOR`` times the mean.
+    """
 
     name = "bounded_load"
 
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
-        """Return the first target by hash below the bound."""
+        """Return the first target in rendezvous order whose load is below the bound."""
         if not targets:
             return None
         in_flight = {state.address: state.in_flight for state in targets}
@@ -96,7 +99,7 @@
 
 
 def placement_key(placement: Placement) -> bytes:
-    """Return the key by which a request is placed."""
+    """Return the hash key for placing a request: its prefix, or else its workspace."""
     if placement.prefix is None:
         return placement.route.workspace.encode()
     return placement.prefix.placement_key
--- a/agaterail/prefix.py
+++ b/agaterail/prefix.py
@@ -1,4 +1,4 @@
-"""Names of prompt prefixes: chained hashes of blocks within one scope."""
+"""Keys of prompt prefixes: chained hashes of blocks within one scope."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 @attrs.frozen
 class Scope:
-    """What cached blocks may be shared within; nothing outside it matches."""
+    """Scope within which cached blocks may be shared.
+
+    Block keys of different scopes never match.
+    """
 
     workspace: str
     model: str
@@ -29,12 +32,12 @@
 
     @property
     def salt(self) -> str:
-        """Return the hash that starts every chain of this scope, in hex."""
+        """Hash that starts every chain of block keys in this scope, in hex."""
         digest = blake2b(digest_size=KEY_BYTES, person=SCOPE_HASH_PERSON)
         for part in (self.workspace, self.model, self.adapter, self.weights_version):
             data = part.encode()
-            # Without lengths, ("ab", "c") and ("a", "bc") would hash alike and
-            # one workspace could be served another's blocks.
+            # Without the lengths, ("ab", "c") and ("a", "bc") would have the same
+            # hash, and a workspace could be served another workspace's blocks.
             digest.update(len(data).to_bytes(LENGTH_BYTES, "big"))
             digest.update(data)
         return digest.hexdigest()
@@ -42,18 +45,18 @@
 
 @attrs.frozen
 class Prefix:
-    """The named blocks of one prompt.
+    """Block keys of one prompt.
 
     Attributes
     ----------
     keys
-        One key per full block, each naming the whole prompt up to its end.
+        One key per full block; each covers the whole prompt up to its end.
     level_blocks
         Number of full blocks up to the end of each nesting level.
     prompt_tokens
-        Tokens of the whole prompt.
+        Number of tokens in the whole prompt.
     placement_key
-        Key of the level by which the prompt is placed.
+        Hash of the leading levels that determine where the prompt is placed.
     """
 
     keys: tuple[bytes, ...]
@@ -63,7 +66,7 @@
 
 
 class Tokenizer(abc.ABC):
-    """Turns messages into the bytes that blocks are cut from."""
+    """Renders messages to bytes, which are then split into blocks."""
 
     @abc.abstractmethod
     def render(self, messages: Sequence[Message]) -> Sequence[bytes]:
@@ -71,33 +74,33 @@
 
     @abc.abstractmethod
     def block_bytes(self, block_tokens: int) -> int:
-        """Return the rendered bytes that fill one block."""
+        """Return the number of rendered bytes in one block."""
 
 
 class ByteTokenizer(Tokenizer):
-    """Counts a fixed number of UTF-8 bytes as one token."""
+    """Approximates tokens by a fixed number of UTF-8 bytes per token."""
 
     def __init__(self, token_bytes: int) -> None:
         self.token_bytes = token_bytes
 
     def render(self, messages: Sequence[Message]) -> Sequence[bytes]:
-        """Return role and content of each message on lines of their own."""
+        """Return the role and content of each message, each on its own line."""
         return [
             f"{message.role}\n{message.content}\n".encode("utf-8", "surrogatepass")
             for message in messages
         ]
 
     def block_bytes(self, block_tokens: int) -> int:
-        """Return the rendered bytes that fill one block."""
+        """Return the number of rendered bytes in one block."""
         return block_tokens * self.token_bytes
 
     def tokens(self, size_bytes: int) -> int:
-        """Return the tokens of so many rendered bytes, rounded up."""
+        """Return the number of tokens in ``size_bytes`` rendered bytes, rounded up."""
         return -(-size_bytes // self.token_bytes)
 
 
 def block_keys(salt: str, prompt: bytes, block_bytes: int) -> tuple[bytes, ...]:
-    """Return the chained key of each full block of a prompt."""
+    """Return the key of each full block; each key is chained to the previous one."""
     keys: list[bytes] = []
     parent = bytes.fromhex(salt)
     for end in range(block_bytes, len(prompt) + 1, block_bytes):
@@ -111,10 +114,10 @@
 def compute_prefix(
     scope: Scope, messages: Sequence[Message], tokenizer: ByteTokenizer, block_tokens: int
 ) -> Prefix:
-    """Name the blocks and nesting levels of a prompt.
+    """Compute the block keys and nesting levels of a prompt.
 
-    Each message but the last ends a level: the workspace's instructions, then
-    a customer's history, then the question.
+    Each message except the last ends a level: first the workspace's
+    instructions, then a customer's history, then the question.
     """
     rendered = tokenizer.render(messages)
     prompt = b"".join(rendered)
@@ -132,8 +135,9 @@
 
 
 def _placement_key(scope: Scope, rendered: Sequence[bytes]) -> bytes:
-    # Two levels, instructions and history, split the load and stay the same
-    # from question to question and from turn to turn.
+    # The first two levels, instructions and history, are specific enough to
+    # spread the load and stay the same between the questions and turns of a
+    # conversation.
     digest = blake2b(key=bytes.fromhex(scope.salt), digest_size=KEY_BYTES)
     for part in rendered[: min(2, max(1, len(rendered) - 1))]:
         digest.update(part)
--- a/agaterail/rollout.py
+++ b/agaterail/rollout.py
@@ -1,4 +1,4 @@
-"""Steps that bring engines to the state which the pools table asks for."""
+"""Planning of the steps that bring engines to the state desired by the pools table."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class DesiredState:
-    """State that an engine should have."""
+    """Model, weights, adapters and role that an engine should have."""
 
     model: str
     weights_version: str
@@ -28,11 +28,11 @@
 
     @classmethod
     def of(cls, pool: Pool) -> DesiredState:
-        """Return the state that a pool's row asks for."""
+        """Return the desired state of the engines of a pool."""
         return cls(pool.model, pool.weights_version, pool.adapters, pool.role)
 
     def is_met_by(self, state: EngineState) -> bool:
-        """Tell whether an engine has this state."""
+        """Return whether a healthy engine has reached this state."""
         if not state.healthy or state.loading:
             return False
         found = DesiredState(state.model, state.weights_version, state.adapters, state.role)
@@ -41,14 +41,14 @@
 
 @attrs.frozen
 class Revision:
-    """One version of a pool's row; a new edit is a new revision."""
+    """Version of a pool's row; each edit creates a new revision."""
 
     pool: str
     version: int
 
 
 class StepKind(enum.Enum):
-    """What to do next."""
+    """Action of a rollout step."""
 
     ORDER = "order"
     PROBE = "probe"
@@ -57,7 +57,7 @@
 
 @attrs.frozen(kw_only=True)
 class Step:
-    """One step of a rollout."""
+    """Step of a rollout, addressed to one engine."""
 
     kind: StepKind
     revision: Revision
@@ -68,22 +68,23 @@
 
 @attrs.define(kw_only=True)
 class EngineView:
-    """What the lease holder knows of one engine.
+    """State of one engine as known to the lease holder.
 
     Attributes
     ----------
     state
-        State as last read back; None when the last read failed.
-    known_at
-        Monotonic second at which the view was made, until the first read.
+        State as last read from the engine; None if the last read failed.
+    unread_since
+        Monotonic time in seconds at which the view was created; None once the
+        engine's state has been read.
     ordered
-        State of an order whose effect was not read back yet.
+        State of the latest order until the engine is seen to have reached it.
     ordered_at
-        Monotonic second of that order.
+        Monotonic time of that order, in seconds.
     failed
-        Revision whose order the engine failed.
+        Revision whose order failed on this engine.
     probed
-        State that passed the check, with the engine's incarnation.
+        Engine incarnation and state that passed the check.
     """
 
     state: EngineState | None = None
@@ -96,38 +97,39 @@
 
     @property
     def cached_blocks(self) -> int:
-        """Return the blocks that a load would drop."""
+        """Number of cached blocks that loading weights would drop."""
         return 0 if self.state is None else self.state.cached_blocks
 
     def may_be_loading(self, now: float) -> bool:
-        """Tell whether the engine loads, or may load for all that is known."""
+        """Return whether the engine is loading weights, or may be."""
         if self.ordered is not None or (self.state is not None and self.state.loading):
             return True
-        # The former holder may have ordered a load just before this one took
-        # over. An engine that cannot be read counts as loading for as long as
-        # a load can take; else a third load could start beside it.
+        # The previous lease holder may have ordered a load just before this one
+        # took over. An engine whose state cannot be read counts as loading for
+        # as long as a load can take. Otherwise more than MAX_CONCURRENT_LOADS
+        # loads could run at once.
         return self.unread_since is not None and now - self.unread_since < LOAD_TIMEOUT_S
 
     def serves(self, versions: tuple[str, ...], now: float) -> bool:
-        """Tell whether the engine answers with one of these weights versions."""
+        """Return whether the engine serves one of these weights versions."""
         state = self.state
         if state is None or self.may_be_loading(now) or not state.healthy:
             return False
         return state.weights_version in versions
 
     def verified(self, desired: DesiredState) -> bool:
-        """Tell whether the engine has a state and passed the check in it."""
+        """Return whether the engine has the desired state and passed the check in it."""
         if self.state is None or not desired.is_met_by(self.state):
             return False
         return self.probed == (self.state.incarnation, desired)
 
 
 def update_view(view: EngineView, state: EngineState | None, now: float) -> None:
-    """Update a view with a state that was read back, or None when it could not be.
+    """Update a view with a state read from the engine, or None if the read failed.
 
-    An order is settled when its state is seen. One that is not within the time
-    of a load has failed, also when the engine died of it. Orders are absolute,
-    so a repeated one does no harm.
+    An order is complete once the engine reports its state. It has failed if
+    that does not happen within ``LOAD_TIMEOUT_S``, for example because the
+    engine died while loading. Orders are idempotent: each names the full state.
     """
     view.state = state
     if state is not None:
@@ -152,11 +154,11 @@
     Parameters
     ----------
     pools
-        Engine pools in force.
+        Engine pools of the current tables.
     engines
         Views of all engines of these pools, by address.
     halted
-        Revisions that a failed engine has stopped.
+        Revisions whose rollout was halted after an engine failed.
     """
     loads = sum(view.may_be_loading(now) for view in engines.values())
     steps: list[Step] = []
@@ -199,7 +201,7 @@
 def _fallback_steps(
     pool: Pool, revision: Revision, views: Mapping[str, EngineView], now: float
 ) -> list[Step]:
-    """Return the engines of a halted revision to the weights they came from."""
+    """Roll engines of a halted revision back to the weights that the pool also serves."""
     if not pool.also_serve:
         return []
     desired = DesiredState.of(pool)
@@ -227,8 +229,8 @@
         return []
     any_verified = any(view.verified(desired) for view in views.values())
     if not any_verified and any(view.may_be_loading(now) for view in views.values()):
-        # Until one engine has passed the check, a second one is not put at
-        # risk: a bad version would take them down together.
+        # Canary: until one engine has passed the check, no second one is
+        # changed. A bad version would otherwise take down several engines.
         return []
     versions = (pool.weights_version, *pool.also_serve)
     serving = sum(view.serves(versions, now) for view in views.values())
@@ -247,8 +249,9 @@
 def _engines_to_load(
     views: Mapping[str, EngineView], desired: DesiredState, now: float
 ) -> list[str]:
-    # A load drops the engine's cache: engines with few blocks go first, so
-    # that the long prefixes of the others stay warm while the check runs.
+    # Loading weights drops the engine's cache. Engines with few cached blocks
+    # go first, so that the long prefixes of the others stay cached during the
+    # check.
     outdated = [
         address
         for address, view in views.items()
--- a/agaterail/transfers.py
+++ b/agaterail/transfers.py
@@ -1,8 +1,9 @@
-"""When to copy cached blocks to and from the kept store.
+"""Decisions on when to copy cached blocks to and from the KV store.
 
-Block keys name workspace, model, adapter and weights version, so a copy can
-never serve another scope. Which blocks a source holds is a hint: a source that
-holds fewer copies fewer, and the engine computes the rest.
+Block keys include workspace, model, adapter and weights version, so a copied
+block never serves another scope. The blocks that a source is said to hold are
+only a hint: if it holds fewer, fewer are copied and the engine computes the
+rest.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 
 MIN_SAVED_MS = 20.0
 MAX_IMPORTS_PER_ENGINE = 2
-# Waiting for an import that fails delays the answer by the whole wait. The
-# pause bounds how often that can happen with a source that is down.
+# A request that waits for a failing import is delayed by the whole wait. The
+# backoff limits how often a source that is down can cause this.
 SOURCE_BACKOFF_S = 5.0
 MIN_EXPORT_BLOCKS = 2
 MIN_EXPORT_USES = 2
@@ -30,7 +31,7 @@
 
 @attrs.frozen
 class Source:
-    """Place that holds leading blocks of a prompt."""
+    """Store that probably holds the leading blocks of a prompt, up to ``depth``."""
 
     address: str
     depth: int
@@ -38,14 +39,14 @@
 
 @attrs.frozen(kw_only=True)
 class Transfer:
-    """Blocks to copy to an engine before it prefills.
+    """Blocks to copy to an engine before its prefill.
 
     Attributes
     ----------
     start, end
-        First block to copy and the one after the last.
+        Half-open range of the blocks to copy.
     saved_ms
-        Prefill time of the copied blocks.
+        Prefill time that the copied blocks save.
     """
 
     source: str
@@ -56,19 +57,19 @@
 
 
 def shared_blocks(prefix: Prefix) -> int:
-    """Return the leading blocks that other prompts can share."""
+    """Return the number of leading blocks that other prompts can share."""
     return min(len(prefix.keys), prefix.level_blocks[-1] if prefix.level_blocks else 0)
 
 
 def plan_import(
     source: Source, cached_blocks: int, import_ms_per_block: float, prefill_ms_per_block: float
 ) -> Transfer | None:
-    """Return what to copy, or None when computing it again is about as cheap.
+    """Return the blocks to copy, or None if recomputing them is about as cheap.
 
     Parameters
     ----------
-    held
-        Leading blocks that the engine holds already.
+    cached_blocks
+        Number of leading blocks that the engine has already cached.
     """
     if import_ms_per_block <= 0:
         return None
@@ -87,7 +88,7 @@
 
 
 class ImportLimits:
-    """Bounds the imports of each engine and leaves out sources that failed."""
+    """Limits concurrent imports per engine and backs off from failed sources."""
 
     def __init__(self, limit: int = MAX_IMPORTS_PER_ENGINE) -> None:
         self.limit = limit
@@ -95,18 +96,18 @@
         self.backoff_until: dict[str, float] = {}
 
     def usable(self, source: str, now: float) -> bool:
-        """Tell whether a source may be planned with."""
+        """Return whether a source is not in backoff."""
         return self.backoff_until.get(source, 0.0) <= now
 
     def begin(self, engine: str, source: str, now: float) -> bool:
-        """Count an import in, or refuse it."""
+        """Register the start of an import; return False if it is refused."""
         if not self.usable(source, now) or self.running.get(engine, 0) >= self.limit:
             return False
         self.running[engine] = self.running.get(engine, 0) + 1
         return True
 
     def end(self, engine: str, source: str, copied: bool, now: float) -> None:
-        """Count an import out."""
+        """Register the end of an import; a failed one puts its source in backoff."""
         left = self.running.get(engine, 0) - 1
         if left > 0:
             self.running[engine] = left
@@ -120,7 +121,7 @@
 
 @attrs.define
 class PrefixUse:
-    """Use of one shared prefix as this process saw it."""
+    """Uses of one shared prefix by requests of this process."""
 
     engine: str
     keys: tuple[bytes, ...]
@@ -130,9 +131,9 @@
 
 
 class ExportQueue:
-    """Prefixes that were used again and are not kept yet, oldest use first.
+    """Reused prefixes that are not yet in the KV store, least recently used first.
 
-    The one whose last use is longest ago is the next to be evicted.
+    The least recently used prefix is the next that an engine would evict.
     """
 
     def __init__(self, limit: int = MAX_TRACKED_PREFIXES) -> None:
@@ -140,7 +141,7 @@
         self.uses: OrderedDict[bytes, PrefixUse] = OrderedDict()
 
     def record_use(self, engine: str, keys: tuple[bytes, ...], now: float) -> None:
-        """Count a use of a shared prefix at an engine."""
+        """Count a use of a shared prefix on an engine."""
         if len(keys) < MIN_EXPORT_BLOCKS:
             return
         use = self.uses.setdefault(keys[-1], PrefixUse(engine, keys))
@@ -152,7 +153,7 @@
             self.uses.popitem(last=False)
 
     def due(self, now: float) -> list[PrefixUse]:
-        """Return the next export of each engine."""
+        """Return the next prefix to export from each engine."""
         found: dict[str, PrefixUse] = {}
         for use in self.uses.values():
             age = now - use.used_at
@@ -162,5 +163,5 @@
         return list(found.values())
 
     def mark_exported(self, use: PrefixUse, now: float) -> None:
-        """Do not export a prefix again for a while."""
+        """Suppress exports of a prefix for ``REEXPORT_INTERVAL_S``."""
         use.exported_until = now + REEXPORT_INTERVAL_S
