--- a/tests/fuzz_claims.py
+++ b/tests/fuzz_claims.py
@@ -1,4 +1,4 @@
-"""Long run of the claims' state machine: ``python -m tests.fuzz_claims``."""
+"""Long run of the state machine for claims: ``python -m tests.fuzz_claims``."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CountedMachine(ClaimMachine):
-    """Machine that counts examples, asks, executions and crashes over all runs."""
+    """State machine that counts examples, requests, executions and crashes."""
 
     examples = 0
     asked = 0
@@ -20,7 +20,7 @@
     crashes = 0
 
     def teardown(self):
-        """Add up one example."""
+        """Add the counts of one example."""
         super().teardown()
         CountedMachine.examples += 1
         CountedMachine.asked += len(self.all_calls)
@@ -29,7 +29,7 @@
 
 
 def main():
-    """Run and print the counts."""
+    """Run the state machine and print the counts."""
     parser = argparse.ArgumentParser(prog="tests.fuzz_claims")
     parser.add_argument("--examples", type=int, default=5000)
     parser.add_argument("--steps", type=int, default=80)
--- a/tests/test_agaterail/test_admission.py
+++ b/tests/test_agaterail/test_admission.py
@@ -22,9 +22,9 @@
         self.assertTrue(gate.admit("small", 10.0, 1000.0, 1.0))
 
     def test_small_workspaces_together_do_not_starve_a_larger_one(self):
-        # Found by tools.overload at four times the capacity: seven small
-        # workspaces were all put before the large one and kept the engines
-        # busy, so that what was admitted of the large one ran into its deadline.
+        # Seen in tools.overload at four times the capacity: seven small
+        # workspaces were all served before the large one and kept the engines
+        # busy, so admitted requests of the large one exceeded their deadlines.
         gate = FairGate()
         self.fill(gate, "large")
         for number in range(7):
@@ -64,9 +64,9 @@
 
 class MissRatioTest(unittest.TestCase):
     def test_silent_homes_do_not_make_every_prompt_count_as_cold(self):
-        # Nine tenths of the prompts are cached. Then the homes fall silent and
-        # hits are not known: counted as cold, each request would weigh ten
-        # times what it costs and most would be refused.
+        # 90% of each prompt is cached, then the homes stop answering and hits
+        # are unknown. If requests then counted as cold, each would be charged
+        # ten times its cost and most would be refused.
         share = admission.MissRatio()
         self.assertEqual(share.value, admission.INITIAL_MISS_RATIO)
         for _ in range(100):
@@ -87,10 +87,10 @@
 
 class CapacityTest(unittest.TestCase):
     def test_a_cold_burst_far_from_its_deadline_is_admitted(self):
-        # Found by `make demo`: 24 callers send cold prompts of 103 ms through
-        # three daemons to five engines at once, with a deadline of 30 s. Five
-        # were refused, "cannot answer before the deadline", although all of
-        # them have their first token within a second.
+        # Seen in `make demo`: 24 callers send cold prompts of 103 ms through
+        # three daemons to five engines at the same time, with a deadline of
+        # 30 s. Five of them were refused with "cannot answer before the
+        # deadline", although all could get their first token within 1 s.
         gate = FairGate()
         capacity_ms = admission.queue_capacity_ms(targets=5, members=3, deadline_ms=30_000)
         for _ in range(8):
--- a/tests/test_agaterail/test_claims.py
+++ b/tests/test_agaterail/test_claims.py
@@ -39,7 +39,7 @@
 
 
 class Log:
-    """Offsets of one stream; what is kept starts at ``first``."""
+    """Records of one stream; those before offset ``first`` have expired."""
 
     def __init__(self):
         self.records = []
@@ -54,7 +54,7 @@
 
 
 class Call:
-    """One sending of a request, as its caller and its target see it."""
+    """One attempt of a request, with its claim and what its caller was told."""
 
     def __init__(self, key, daemon, incarnation, attempt):
         self.ticket = Ticket(Claim(key, f"d{daemon}", attempt))
@@ -65,10 +65,10 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Daemons, a faulty log and a target with a journal.
+    """Model of several daemons, a faulty log and a target with a journal.
 
-    Messages between daemons may be lost, appends may be answered late, never or
-    land after the claimer gave up, and records may expire.
+    Messages between daemons may be lost. Appends may fail, stay unanswered or
+    reach the log after the claimer gave up. Records may expire.
     """
 
     calls = Bundle("calls")
@@ -201,7 +201,7 @@
         self.log.first = before
 
     def teardown(self):
-        """Let all queues run dry; no key may then be held by a request that gave up."""
+        """Drain all queues and check that no abandoned attempt still holds a key."""
         self.log.records.extend(self.delayed)
         for queue in self.queues:
             queue.on_appended()
@@ -254,7 +254,7 @@
 
 
 class ReferenceClaims:
-    """One daemon with a perfect log."""
+    """Reference model: one daemon with a log that never fails."""
 
     def __init__(self):
         self.held = {}
@@ -323,9 +323,9 @@
         self.assertEqual(verdicts[0][1].holding, "x")
 
     def test_a_claim_appended_after_its_release_does_not_block_the_key(self):
-        # An append hangs, the claimer gives up and releases, then the append
-        # lands. If it won, the key would be held by nobody that runs it, and
-        # every repeat would be told "in progress".
+        # An append hangs, the claimer gives up and releases the claim, and then
+        # the append reaches the log. If the claim won, no daemon would run the
+        # request, and every retry would be answered with "in progress".
         partition, verdicts = self.fold(
             ClaimBatch(releases=(Release(KEYS[0], "x"),)),
             ClaimBatch(claims=(claim("x"),)),
@@ -336,9 +336,9 @@
         self.assertEqual(partition.entries[KEYS[0]].attempt, "y")
 
     def test_an_attempt_that_lost_cannot_win_with_its_second_copy(self):
-        # Owner and receiving daemon both append y. The first copy loses to x
-        # and the caller is told so; x is released; the second copy must lose
-        # too, since nobody waits for it any more.
+        # The owner and the receiving daemon both append y. The first copy loses
+        # to x, and the caller is told so. Then x is released. The second copy
+        # must lose as well, because no caller waits for it any longer.
         _, verdicts = self.fold(
             ClaimBatch(claims=(claim("x"), claim("y"))),
             ClaimBatch(releases=(Release(KEYS[0], "x"),), claims=(claim("y"),)),
@@ -366,8 +366,9 @@
         self.assertLessEqual(partition.body_bytes, claims.MAX_TOTAL_BODY_BYTES)
 
     def test_a_reader_that_missed_records_resets(self):
-        # The log expired records that this daemon had not read. It cannot know
-        # what they released, so it must judge like a daemon that starts now.
+        # Records expired before this daemon read them. It cannot know which
+        # claims they released, so it must reach the same verdicts as a daemon
+        # that starts now.
         queue = PartitionQueue()
         queue.on_records([(0, ClaimBatch(claims=(claim("x"),)))])
         queue.submit(claim("y"))
--- a/tests/test_agaterail/test_heat.py
+++ b/tests/test_agaterail/test_heat.py
@@ -18,8 +18,8 @@
         self.assertAlmostEqual(tracker.rate_per_s(b"k", 60.0), 20.0, delta=2.0)
 
     def test_replicas_of_a_hot_key_grow_and_shrink_with_hysteresis(self):
-        # A rate that swings around a limit must not change the list each time:
-        # each engine that joins it recomputes the whole prefix.
+        # A rate that fluctuates around a threshold must not change the candidates
+        # each time: every engine that is added recomputes the whole prefix.
         tracker = HotKeyTracker(replica_rate_per_s=10.0)
         self.assertEqual(run(tracker, b"k", 0.0, 25.0, 60.0)[-1], 2)
         self.assertEqual(set(run(tracker, b"k", 60.0, 18.0, 60.0)), {2})
--- a/tests/test_agaterail/test_homes.py
+++ b/tests/test_agaterail/test_homes.py
@@ -22,8 +22,9 @@
         self.assertEqual(homes_of(MEMBERS), homes_of(shuffled, MEMBERS[7]))
 
     def test_changes_of_members_equal_a_fresh_start(self):
-        # The map ranks anew only what a change concerns, since 600 engines over
-        # 410 daemons are too many pairs for each restart of a neighbour.
+        # Ranking all pairs of 600 engines and 410 daemons at each restart of a
+        # daemon would take too long, so the map uses a ring and caches homes. The
+        # result must not depend on earlier members.
         choose = random.Random(2)
         homes = HomeMap(MEMBERS[0])
         for _ in range(30):
--- a/tests/test_agaterail/test_index.py
+++ b/tests/test_agaterail/test_index.py
@@ -48,8 +48,9 @@
 
 class KeyTableTest(unittest.TestCase):
     def test_equals_a_dict_through_random_changes(self):
-        # Few different keys on few slots: long runs that wrap around the end
-        # are where a wrong deletion would hide a key behind a hole.
+        # A small table with few distinct keys has long probe runs that wrap
+        # around its end. A wrong deletion there would leave a hole that hides
+        # later keys of the run.
         for seed in range(20):
             choose = random.Random(seed)
             table, oracle = KeyTable(), {}
@@ -82,9 +83,9 @@
         self.assertEqual(self.depth(3, 4).depth, 0)
 
     def test_a_gap_lowers_confidence_until_the_contents_are_read(self):
-        # The eviction of block 2 is lost. Its entry stays, because most blocks
-        # are still cached, but a caller must see that it may be wrong; reading
-        # the contents removes it and restores the trust in the others.
+        # The event that evicts block 2 is lost. Its entry stays, because most
+        # blocks are still cached, but with a lower confidence. Reading the
+        # contents removes it and restores the confidence of the others.
         self.index.on_events(batch(stored(1, 1, 2)), 1.0, 1.0)
         self.index.on_events(batch(stored(3, 9)), 1.0, 1.0)
         self.assertEqual(self.depth(1, 2).depth, 2)
@@ -102,17 +103,18 @@
         self.assertEqual(self.index.lost_events, 3)
 
     def test_entries_stay_suspect_when_the_generation_wraps(self):
-        # After 255 gaps the number of the gap is used again. An entry from
-        # before the first gap would then count as trusted although its
-        # eviction may have been lost 255 times.
+        # The generation counter wraps after 255 gaps. An entry from before the
+        # first gap would then count as trusted, although its eviction may have
+        # been lost in any of them.
         self.index.on_events(batch(stored(1, 1)), 1.0, 1.0)
         for number in range(2, 2 * MAX_GENERATION + 4):
             self.index.on_events(CacheEvents("a", (), number), 1.0, 1.0)
             self.assertLess(self.depth(1).confidence, 1.0, number)
 
     def test_a_late_answer_of_a_past_incarnation_is_ignored(self):
-        # The engine crashes and comes back empty. A long poll that was answered
-        # before the crash is handled after the first answer of the new one.
+        # The engine crashes and restarts with an empty cache. The answer to a
+        # long poll from before the crash is processed after the first answer of
+        # the new incarnation.
         self.index.on_events(batch(stored(1, 1)), 1.0, 1.0)
         self.index.on_events(batch(stored(1, 5), incarnation="b"), 1.0, 1.0)
         self.assertEqual(self.depth(1).depth, 0)
@@ -122,19 +124,20 @@
         self.assertEqual(self.index.incarnation, "b")
 
     def test_a_late_first_answer_of_a_past_incarnation_does_not_replace_the_live_one(self):
-        # Found by the machine below: a question is asked, the engine crashes
-        # before this host has heard of it, the next question is answered by the
-        # new one, and only then the first answer arrives. Its incarnation was
-        # never seen; taken as newer, the live engine would count as dead.
+        # A query is sent and the engine crashes before its answer arrives. The
+        # next query is answered by the new incarnation, and only then does the
+        # first answer arrive. Its incarnation was never seen before; if it were
+        # accepted as newer, answers of the live engine would be ignored.
         index = EngineIndex(0.0)
         index.on_events(batch(stored(1, 5), incarnation="b"), 1.0, 2.0)
         index.on_events(batch(stored(1, 5), incarnation="a"), 0.5, 3.0)
         self.assertEqual(index.incarnation, "b")
 
     def test_sequence_numbers_of_the_old_incarnation_do_not_hide_events_of_the_new(self):
-        # The question "after 500" reaches the engine just after its restart; it
-        # answers "last is 500". Taking that number would skip its events 1 to
-        # 500, and evictions among them would leave false entries.
+        # A query for the events after 500 reaches the engine just after its
+        # restart, and the engine answers that the last one is 500. Adopting that
+        # number would skip events 1 to 500 of the new incarnation, and evictions
+        # among them would leave stale entries.
         self.index.on_events(CacheEvents("a", (), 500), 1.0, 1.0)
         self.index.on_events(CacheEvents("b", (), 500), 1.0, 1.0)
         self.assertEqual(self.index.sequence, 0)
@@ -167,8 +170,8 @@
         self.assertEqual(self.depth(2).depth, 0)
 
     def test_suspect_entries_age_by_the_evictions_that_were_seen(self):
-        # Blocks live 10 s here. After a gap an entry that was used 1 s ago is
-        # probably there and one that was used 18 s ago probably not.
+        # Blocks are evicted after about 10 s here. After a gap, an entry that was
+        # used 1 s ago is probably still cached, one from 18 s ago probably not.
         self.index.on_events(batch(stored(1, 1, 2)), 0.0, 0.0)
         self.index.on_events(batch(evicted(2, 1), stored(3, 8)), 10.0, 10.0)
         self.index.on_events(batch(stored(4, 9)), 17.0, 17.0)
@@ -178,8 +181,8 @@
         self.assertGreater(new, 0.8)
 
     def test_lost_evictions_do_not_grow_the_table_forever(self):
-        # Every eviction is lost and the contents cannot be read: entries that
-        # are older than twice the lifetime of a block go by themselves.
+        # Every eviction event is lost and the contents cannot be read. Suspect
+        # entries older than twice the lifetime of a block must still be removed.
         self.index.set_capacity(10)
         self.index.lifetime_s = 5.0
         for number in range(1, 400):
@@ -189,7 +192,7 @@
 
 
 class ReferenceIndex:
-    """The rules with a dict and no thought for memory."""
+    """Reference model of the index with plain sets."""
 
     def __init__(self):
         self.trusted, self.suspect = set(), set()
@@ -239,7 +242,7 @@
 
 
 class EngineCache:
-    """An engine's cache that knows everything."""
+    """Model of an engine's cache with the complete log of its events."""
 
     def __init__(self, incarnation):
         self.incarnation, self.version = incarnation, 1
@@ -259,7 +262,7 @@
 
 
 class IndexMachine(RuleBasedStateMachine):
-    """Events late, lost, repeated and reordered, crashes, new weights, resyncs."""
+    """Late, lost, repeated and reordered events, crashes, new weights and resyncs."""
 
     def __init__(self):
         super().__init__()
@@ -332,8 +335,8 @@
 
     @invariant()
     def trusted_entries_are_cached_once_all_events_were_seen(self):
-        # Trusted entries may lag behind the engine, but when the index is at
-        # the engine's last event they must be in its cache.
+        # Trusted entries may lag behind the engine. Once the index has processed
+        # the engine's last event, all of them must be in its cache.
         engine = self.engine
         if (self.index.incarnation, self.index.sequence) != (
             engine.incarnation,
--- a/tests/test_agaterail/test_leases.py
+++ b/tests/test_agaterail/test_leases.py
@@ -14,7 +14,7 @@
 
 
 class LeaseCandidate:
-    """A candidate whose reads and appends the test times."""
+    """Candidate whose reads and appends are timed by the test."""
 
     def __init__(self, name, log, numbers):
         self.keeper = LeaseKeeper(name, lambda: f"{name}-{next(numbers)}")
@@ -72,8 +72,8 @@
         self.assertEqual(self.other.keeper.remaining_s(0.0), 10.0)
 
     def test_the_term_counts_from_before_the_append(self):
-        # The append takes 4 s. The rival counts its wait from its own read,
-        # so the holder must not count from the answer.
+        # The append takes 4 s. Another candidate counts the term from its own
+        # read of the record, so the holder must not count it from the answer.
         self.one.read(0.0)
         self.one.prepare(0.0)
         self.one.send()
@@ -81,8 +81,9 @@
         self.assertEqual(self.one.keeper.remaining_s(4.0), 6.0)
 
     def test_a_paused_holder_finds_its_lease_expired(self):
-        # The holder sleeps for 20 s and still believes in its lease. On
-        # waking, its own clock says no; the rival has acquired meanwhile.
+        # The holder is paused for 20 s and still has itself as holder in its
+        # view. Its own clock tells it that the lease has expired; another
+        # candidate has acquired it in the meantime.
         self.one.step(0.0)
         self.other.read(0.1)
         self.other.step(12.0)
@@ -102,8 +103,9 @@
         self.assertEqual(self.one.keeper.remaining_s(0.0), 10.0)
 
     def test_an_earlier_append_accepted_after_a_second_one_grants_no_time(self):
-        # The first append seems lost and a second is prepared. The first then
-        # turns up accepted: when it was sent is forgotten, so it gives no time.
+        # The first append seems to be lost and a second one is prepared. Then the
+        # first one is accepted. Its send time is no longer known, so it must not
+        # grant any time.
         self.one.read(0.0)
         self.one.prepare(0.0)
         first = self.one.pending
@@ -114,8 +116,9 @@
         self.assertEqual(self.one.keeper.remaining_s(9.0), 0.0)
 
     def test_expired_records_make_a_reader_wait_one_term(self):
-        # All records expired unread, among them that of the live holder. A
-        # reader that took the lease for free would give orders beside it.
+        # All records expired unread, including the one of the current holder. A
+        # reader that assumed the lease to be free would send orders at the same
+        # time as the holder.
         self.one.step(0.0)
         self.log.expire(LEASES_STREAM, 99)
         self.other.read(1.0)
@@ -124,8 +127,9 @@
         self.assertEqual(self.other.keeper.remaining_s(1.0), 0.0)
 
     def test_a_paused_holder_does_not_acquire_over_expired_records(self):
-        # The holder pauses, a rival acquires, and its records expire before
-        # the first one reads again. It must wait, not renew what it lost.
+        # The holder is paused, another candidate acquires the lease, and its
+        # records expire before the first one reads again. The first one must
+        # wait instead of renewing a lease that it has lost.
         self.one.step(0.0)
         self.other.read(0.0)
         self.other.step(12.0)
@@ -136,7 +140,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Three candidates with clocks of their own origin, pauses and log faults."""
+    """Three candidates with different clock origins, pauses, restarts and log faults."""
 
     names = st.sampled_from(["a", "b", "c"])
 
--- a/tests/test_agaterail/test_limits.py
+++ b/tests/test_agaterail/test_limits.py
@@ -23,8 +23,9 @@
         self.assertAlmostEqual(total, 100.0)
 
     def test_differing_views_exceed_the_limit_by_their_ratio_at_most(self):
-        # Half of the daemons still believe that two are gone. Until the views
-        # agree, the sum is above the limit by the ratio of the views.
+        # Two of the eight daemons have a view in which two others are gone. Until
+        # the views agree, the sum of the shares may exceed the limit by the ratio
+        # of the view sizes.
         everyone = [str(number) for number in range(8)]
         fewer = everyone[:6]
         parts = [concurrency_share(96, b"r", own, everyone) for own in everyone[:4]]
--- a/tests/test_agaterail/test_loads.py
+++ b/tests/test_agaterail/test_loads.py
@@ -11,9 +11,9 @@
         self.load = EngineLoad(1.0)
 
     def test_dispatches_since_a_lagging_report_are_added_and_drained(self):
-        # The report is 5 s old and says "idle". Three requests of 100 ms were
-        # sent since, two of them just now: a router that believed the report
-        # would send the next one there too.
+        # The report is 5 s old and says that the engine is idle. Since then three
+        # requests of 100 ms were sent, two of them just before the report came.
+        # A daemon that relied on the report alone would send the next one there.
         self.load.on_dispatch("old", 100, 6.0)
         self.load.on_dispatch("one", 100, 9.9)
         self.load.on_dispatch("two", 100, 9.9)
--- a/tests/test_agaterail/test_members.py
+++ b/tests/test_agaterail/test_members.py
@@ -30,8 +30,8 @@
             self.assertIn(OTHER, self.view.live(now))
 
     def test_queries_that_time_out_in_a_pause_of_this_process_eject_nobody(self):
-        # This process is paused for ten seconds; on waking all queries that
-        # were in flight time out at once, to members that are well.
+        # This process is paused for 10 s. When it continues, all queries that
+        # were in flight time out at once, although the members are healthy.
         for _ in range(50):
             self.view.on_missed(OTHER, QUERY_WEIGHT, 10.0)
         self.assertIn(OTHER, self.view.live(10.0))
@@ -43,8 +43,9 @@
         self.assertIn(OTHER, self.view.live(1.5))
 
     def test_a_drain_notice_overrides_the_lagging_list(self):
-        # A daemon tells that it drains; the list goes on naming it for a
-        # while. Once the list has dropped it, a new listing counts at once.
+        # A daemon announces that it drains, but stays on the platform's list for
+        # a while. Once the list has dropped it, a new listing takes effect at
+        # once.
         self.view.on_drain(OTHER, 0.0)
         self.view.on_list([OWN, OTHER])
         self.assertNotIn(OTHER, self.view.live(5.0))
@@ -53,8 +54,8 @@
         self.assertIn(OTHER, self.view.live(6.0))
 
     def test_an_empty_list_is_ignored(self):
-        # The platform's list comes back empty after a fault; every daemon
-        # would take itself for the home of all engines.
+        # The platform returns an empty list after a fault. If it were accepted,
+        # every daemon would consider itself the home of all engines.
         self.view.on_list([])
         self.assertIn(OTHER, self.view.live(0.0))
 
--- a/tests/test_agaterail/test_policies/test_cost.py
+++ b/tests/test_agaterail/test_policies/test_cost.py
@@ -47,8 +47,9 @@
         )
 
     def test_a_hit_is_worth_the_weighted_prefill_in_queue(self):
-        # The engine with the prefix has a queue. Below three prefills of the
-        # missing tokens waiting is cheaper, above it recomputing is.
+        # The engine that has the prefix cached also has a queue. Waiting is
+        # cheaper while the queue is shorter than three prefills of the missing
+        # tokens (miss_weight=3.0); otherwise recomputing them is.
         for queue_ms, expected in ((290.0, self.two), (420.0, self.one)):
             cached = CandidateState(self.two, depth=10, queue_ms=queue_ms)
             decision = self.choose(CandidateState(self.one), cached)
@@ -66,7 +67,7 @@
         self.assertEqual(self.choose(suspect, sure).address, self.two)
 
     def test_other_weights_and_leaving_engines_are_not_chosen(self):
-        # The home knows it before the tables or the host list say so.
+        # The home learns of both before the tables or the host list change.
         stale = CandidateState(self.one, depth=10, weights_version="v0")
         leaving = CandidateState(self.two, depth=10, leaving=True)
         self.assertEqual(self.choose(stale, leaving).address, self.three)
@@ -92,8 +93,9 @@
         self.assertEqual(set(chosen), set(ADDRESSES[:3]))
 
     def test_without_answers_a_prefix_stays_where_it_was_sent_last(self):
-        # All homes fall silent on a busy machine. The first by hash need not be
-        # the engine that holds the prefix; going there would compute it again.
+        # No home answers, for example on an overloaded machine. The first engine
+        # by hash is not necessarily the one that has the prefix cached, and
+        # sending the request there would recompute the prefix.
         cached = CandidateState(self.three, depth=10)
         self.choose(CandidateState(self.one, queue_ms=900.0), cached)
         decision = self.choose()
@@ -142,7 +144,8 @@
             pairs[first.address, second.address] += 1
         firsts = [count for name, count in pairs.items() if isinstance(name, str)]
         self.assertEqual(len(firsts), 40)
-        # 96 points give a spread of a tenth: 200 each, plus or minus 40%.
+        # With 96 points per target the shares deviate by about 10%; the bounds
+        # allow 40% around the mean of 200.
         self.assertLess(max(firsts), 280)
         self.assertGreater(min(firsts), 120)
         self.assertGreater(len(pairs) - 40, 1000)
--- a/tests/test_agaterail/test_prefix.py
+++ b/tests/test_agaterail/test_prefix.py
@@ -29,8 +29,9 @@
         return compute_prefix(Scope("w", "m", "", "v"), messages, ByteTokenizer(1), 10)
 
     def test_equal_beginnings_share_their_leading_keys(self):
-        # Each message has its role and two line ends around it: 106 bytes are
-        # 10 full blocks, and the first 6 bytes of the second are alike too.
+        # With its role and two newlines, the first message takes 106 bytes: 10
+        # full blocks and 6 bytes. The 11th block is shared too, because its other
+        # 4 bytes are the role of the second message.
         one, other = self.name("a" * 100, "b" * 50), self.name("a" * 100, "c" * 50)
         shared = [x == y for x, y in zip(one.keys, other.keys, strict=True)]
         self.assertEqual(shared, [True] * 11 + [False] * 5)
--- a/tests/test_agaterail/test_rollout.py
+++ b/tests/test_agaterail/test_rollout.py
@@ -43,7 +43,7 @@
 
 
 class FakeEngine(Engine):
-    """Engine that loads in manual time and notes each order it took."""
+    """Engine that loads weights in manual time and records the orders it accepts."""
 
     def __init__(self, timers, fencing=True):
         self.timers = timers
@@ -127,7 +127,7 @@
 
 
 class Daemons:
-    """Daemons with their lease and rollout controllers on one log and clock."""
+    """Daemons whose lease and rollout controllers share one log and one clock."""
 
     def __init__(self, count=2, fencing=True):
         self.timers = ManualTimerService()
@@ -181,8 +181,8 @@
         self.assertEqual([engine.loads for engine in daemons.engines.values()], [1] * 5)
 
     def test_a_version_that_cannot_load_stops_at_one_engine(self):
-        # The first engine fails its order. The others go on serving the old
-        # version, and no other engine is asked.
+        # The first engine fails its order. The others keep serving the old
+        # version and get no order.
         daemons = Daemons()
         for engine in daemons.engines.values():
             engine.failing_versions = {"v2"}
@@ -195,8 +195,8 @@
         )
 
     def test_a_version_that_fails_the_check_is_rolled_back(self):
-        # The first engine loads the version but fails the check. It returns
-        # to the version that also serves; the rollout stays halted.
+        # The first engine loads the version but fails the check. It is rolled
+        # back to the version in also_serve, and the rollout stays halted.
         daemons = Daemons()
         for engine in daemons.engines.values():
             engine.bad_answer_versions = {"v2"}
@@ -209,8 +209,8 @@
         )
 
     def test_the_next_holder_does_not_try_a_halted_version(self):
-        # The holder halts a bad version and dies. Its successor reads the
-        # halt from the log and leaves the engines alone.
+        # The lease holder halts a bad version and dies. Its successor reads the
+        # halt from the log and sends no orders.
         daemons = Daemons()
         for engine in daemons.engines.values():
             engine.failing_versions = {"v2"}
@@ -248,8 +248,9 @@
         self.assertEqual([engine.loads for engine in daemons.engines.values()], [1] * 5)
 
     def test_loads_of_the_former_holder_count_when_they_cannot_be_read(self):
-        # The holder starts two loads and dies. Its successor cannot read the
-        # two engines, and a third load beside them would slow all three.
+        # The lease holder starts two loads and dies. Its successor cannot read
+        # the state of these two engines. A third concurrent load would slow down
+        # all three.
         daemons = Daemons()
         daemons.run(5)
         daemons.desire(weights_version="v2", serving_min=1, version=2)
@@ -280,8 +281,8 @@
         self.assertEqual(daemons.versions(), ["v2"] * 5)
 
     def test_no_order_is_sent_that_could_arrive_after_the_lease(self):
-        # An order may be in flight for two seconds. With one second of the
-        # lease left it could arrive after the next holder's first order.
+        # An order may be in flight for 2 s. With 1 s of the lease left, it could
+        # arrive after the first order of the next holder.
         daemons = Daemons(count=1)
         daemons.run(5)
         app = daemons.apps[0]
@@ -294,9 +295,9 @@
         )
 
     def test_a_late_order_on_an_engine_without_fencing_is_repaired(self):
-        # A paused holder's order for the old version arrives after the new
-        # one is in place, and the engine ignores its number. Reading back
-        # finds the wrong state and the order is given again.
+        # An order of a paused holder for the old version arrives after the new
+        # version was loaded, and the engine does not check fencing numbers. The
+        # next read of its state finds the mismatch, and the order is repeated.
         daemons = Daemons(fencing=False)
         daemons.run(5)
         daemons.desire(weights_version="v2", version=2)
@@ -330,7 +331,7 @@
 
 
 class RolloutMachine(RuleBasedStateMachine):
-    """Two daemons, five enforcing engines, pauses, outages and deaths."""
+    """Two daemons and five engines with fencing; pauses, log outages and crashes."""
 
     numbers = st.integers(0, 1)
     addresses = st.sampled_from(ADDRESSES)
--- a/tests/test_agaterail/test_transfers.py
+++ b/tests/test_agaterail/test_transfers.py
@@ -42,8 +42,8 @@
         self.assertTrue(limits.begin("a", "store", 1.0))
 
     def test_a_failed_store_is_not_used_during_its_backoff(self):
-        # The store is down. Each import that is waited for delays an answer;
-        # only the first one of a pause may.
+        # The store is down, so each request that waits for an import is delayed.
+        # Only the first one per backoff may be.
         limits = ImportLimits()
         limits.begin("a", "store", 0.0)
         limits.end("a", "store", False, 1.0)
