--- a/agaterail/members.py
+++ b/agaterail/members.py
@@ -1,8 +1,8 @@
-"""Which daemons are live, from the platform's list and own observation.
+"""Local view of the live daemons, from the platform's list and observed failures.
 
-No daemon tells another who is live: the view costs no message of its own, so
-its cost does not grow with the number of daemons. Two views may differ; a wrong
-one costs a hint, never a wrong answer.
+Daemons do not gossip about membership. The view takes no messages of its own,
+so its cost does not grow with the number of daemons. Views may differ; a wrong
+view costs a cache hint but never causes a wrong answer.
 """
 
 from __future__ import annotations
@@ -17,45 +17,45 @@
 
 CALL_WEIGHT = 4
 QUERY_WEIGHT = 1
-SUSPECT_WEIGHT = 8
-SUSPECT_SPAN_S = 1.0
-FORGET_FAILURES_S = 10.0
-FIRST_ABSENCE_S = 10.0
-MAX_ABSENCE_S = 60.0
-DRAIN_MEMORY_S = 60.0
+EJECTION_WEIGHT = 8
+MIN_FAILURE_SPAN_S = 1.0
+FAILURE_RESET_S = 10.0
+MIN_EJECTION_S = 10.0
+MAX_EJECTION_S = 60.0
+DRAIN_TTL_S = 60.0
 MAX_CONTACTS = 16
 
 
 @attrs.define
 class Suspicion:
-    """Failures of one member since it was last heard of.
+    """Consecutive failures of one member since it last answered.
 
     Attributes
     ----------
     since, last
-        Monotonic seconds of the first and last failure in a row.
-    absent_until
-        Monotonic second until which the member is left out.
-    absence_s
-        Length of the last absence.
+        Monotonic times of the first and the last failure in a row, in seconds.
+    ejected_until
+        Monotonic time until which the member is not considered live.
+    ejection_s
+        Duration of the last ejection.
     """
 
     since: float
     last: float
     weight: int = 0
-    absent_until: float = 0.0
-    absence_s: float = 0.0
+    ejected_until: float = 0.0
+    ejection_s: float = 0.0
 
 
 class MemberView:
-    """Live daemons as this daemon sees them.
+    """Live daemons as seen by this daemon.
 
     Attributes
     ----------
     listed
-        Routers on the platform's list; None before its first answer.
+        Daemons on the platform's list; None before its first answer.
     contacts
-        Members heard of lately, the latest last.
+        Members heard from recently, the most recent last.
     """
 
     def __init__(self, own_address: str) -> None:
@@ -67,18 +67,20 @@
         self.contacts: collections.OrderedDict[str, None] = collections.OrderedDict()
 
     def on_list(self, addresses: Iterable[str]) -> None:
-        """Take the routers that the platform lists as live."""
+        """Update the daemons that the platform lists as live."""
         listed = frozenset(addresses)
         if not listed and self.listed:
-            # An empty list is a fault of the platform: this daemon lives. To
-            # believe it would move every engine's home here at once.
+            # An empty list is a fault of the platform, since this daemon is
+            # live. Accepting it would move the homes of all engines here.
             return
         self.listed = listed
-        self.suspicions = {key: kept for key, kept in self.suspicions.items() if key in listed}
+        self.suspicions = {
+            key: suspicion for key, suspicion in self.suspicions.items() if key in listed
+        }
         self.drained = {key: until for key, until in self.drained.items() if key in listed}
 
     def on_heard(self, address: str) -> None:
-        """Note an answer or a message of a member."""
+        """Record an answer or message from a member and clear its failures."""
         self.suspicions.pop(address, None)
         self.contacts.pop(address, None)
         self.contacts[address] = None
@@ -86,31 +88,38 @@
             self.contacts.popitem(last=False)
 
     def on_missed(self, address: str, weight: int, now: float) -> None:
-        """Note a call or query that a member did not answer.
+        """Record a call or query that a member did not answer.
 
-        Failures must span a second: after a pause of this process all its
-        queries time out at once, and that says nothing of the others.
+        The member is ejected once its failures reach ``EJECTION_WEIGHT`` and
+        span ``MIN_FAILURE_SPAN_S``; repeated ejections get longer. The span
+        matters because after a pause of this process all its queries time out
+        at once, which says nothing about the other members.
         """
-        seen = self.suspicions.get(address)
-        if seen is None:
-            seen = self.suspicions[address] = Suspicion(now, now)
-        if now < seen.absent_until:
+        suspicion = self.suspicions.get(address)
+        if suspicion is None:
+            suspicion = self.suspicions[address] = Suspicion(now, now)
+        if now < suspicion.ejected_until:
             return
-        if now - seen.last > FORGET_FAILURES_S:
-            seen.since, seen.weight = now, 0
-        seen.last = now
-        seen.weight += weight
-        if seen.weight >= SUSPECT_WEIGHT and now - seen.since >= SUSPECT_SPAN_S:
-            seen.absence_s = min(MAX_ABSENCE_S, max(FIRST_ABSENCE_S, 2 * seen.absence_s))
-            seen.absent_until = now + seen.absence_s
-            seen.since, seen.weight = seen.absent_until, 0
+        if now - suspicion.last > FAILURE_RESET_S:
+            suspicion.since, suspicion.weight = now, 0
+        suspicion.last = now
+        suspicion.weight += weight
+        if suspicion.weight >= EJECTION_WEIGHT and now - suspicion.since >= MIN_FAILURE_SPAN_S:
+            suspicion.ejection_s = min(
+                MAX_EJECTION_S, max(MIN_EJECTION_S, 2 * suspicion.ejection_s)
+            )
+            suspicion.ejected_until = now + suspicion.ejection_s
+            suspicion.since, suspicion.weight = suspicion.ejected_until, 0
 
     def on_drain(self, address: str, now: float) -> None:
-        """Note a member's word that it leaves, until the list has caught up."""
-        self.drained[address] = now + DRAIN_MEMORY_S
+        """Record a member's drain notice, which overrides the platform's list.
+
+        It is kept for ``DRAIN_TTL_S`` or until the list drops the member.
+        """
+        self.drained[address] = now + DRAIN_TTL_S
 
     def live(self, now: float) -> tuple[str, ...]:
-        """Return the members, sorted; this daemon is one unless it leaves."""
+        """Return the live members, sorted; includes this daemon unless it is leaving."""
         found = {address for address in self.listed or () if self._is_live(address, now)}
         if self.leaving:
             found.discard(self.own_address)
@@ -121,5 +130,5 @@
     def _is_live(self, address: str, now: float) -> bool:
         if self.drained.get(address, now) > now:
             return False
-        seen = self.suspicions.get(address)
-        return seen is None or now >= seen.absent_until
+        suspicion = self.suspicions.get(address)
+        return suspicion is None or now >= suspicion.ejected_until
--- a/tests/test_agaterail/test_leases.py
+++ b/tests/test_agaterail/test_leases.py
@@ -13,8 +13,8 @@
 from agaterail.records import LEASES_STREAM
 
 
-class Rival:
-    """A candidate whose reads and appends the test times."""
+class LeaseCandidate:
+    """Candidate whose reads and appends are timed by the test."""
 
     def __init__(self, name, log, numbers):
         self.keeper = LeaseKeeper(name, lambda: f"{name}-{next(numbers)}")
@@ -39,7 +39,7 @@
     def prepare(self, now, rank=0):
         self.pending = self.keeper.next_record(now, rank)
         if self.pending is not None:
-            self.keeper.sending(self.pending, now)
+            self.keeper.on_send(self.pending, now)
 
     def send(self):
         if self.pending is not None:
@@ -57,32 +57,33 @@
     def setUp(self):
         self.log = MemoryLogStore()
         numbers = itertools.count()
-        self.one = Rival("one", self.log, numbers)
-        self.other = Rival("other", self.log, numbers)
+        self.one = LeaseCandidate("one", self.log, numbers)
+        self.other = LeaseCandidate("other", self.log, numbers)
 
     def test_the_first_offset_wins(self):
-        for rival in (self.one, self.other):
-            rival.read(0.0)
-            rival.prepare(0.0)
+        for candidate in (self.one, self.other):
+            candidate.read(0.0)
+            candidate.prepare(0.0)
         self.other.send()
         self.one.send()
-        for rival in (self.one, self.other):
-            rival.read(0.0)
+        for candidate in (self.one, self.other):
+            candidate.read(0.0)
         self.assertEqual(self.one.keeper.remaining_s(0.0), 0.0)
         self.assertEqual(self.other.keeper.remaining_s(0.0), 10.0)
 
     def test_the_term_counts_from_before_the_append(self):
-        # The append takes 4 s. The rival counts its wait from its own read,
-        # so the holder must not count from the answer.
+        # The append takes 4 s. Another candidate counts the term from its own
+        # read of the record, so the holder must not count it from the answer.
         self.one.read(0.0)
         self.one.prepare(0.0)
         self.one.send()
         self.one.read(4.0)
         self.assertEqual(self.one.keeper.remaining_s(4.0), 6.0)
 
-    def test_a_paused_holder_finds_its_lease_lapsed(self):
-        # The holder sleeps for 20 s and still believes in its lease. On
-        # waking, its own clock says no; the rival has acquired meanwhile.
+    def test_a_paused_holder_finds_its_lease_expired(self):
+        # The holder is paused for 20 s and still has itself as holder in its
+        # view. Its own clock tells it that the lease has expired; another
+        # candidate has acquired it in the meantime.
         self.one.step(0.0)
         self.other.read(0.1)
         self.other.step(12.0)
@@ -90,20 +91,21 @@
         self.assertEqual(self.one.keeper.remaining_s(20.0), 0.0)
         self.assertGreater(self.other.keeper.view.fencing, self.one.keeper.view.fencing)
 
-    def test_a_rival_waits_the_whole_term(self):
+    def test_another_candidate_waits_the_whole_term(self):
         self.one.step(0.0)
         self.other.read(0.0)
         self.other.step(9.9)
         self.assertEqual(self.other.keeper.remaining_s(9.9), 0.0)
 
-    def test_an_unanswered_append_is_learnt_by_reading(self):
+    def test_an_unanswered_append_is_found_by_reading(self):
         self.log.lose_answers = 1
         self.one.step(0.0)
         self.assertEqual(self.one.keeper.remaining_s(0.0), 10.0)
 
-    def test_an_append_that_shows_up_after_a_second_one_gives_no_time(self):
-        # The first append seems lost and a second is prepared. The first then
-        # turns up accepted: when it was sent is forgotten, so it gives no time.
+    def test_an_earlier_append_accepted_after_a_second_one_grants_no_time(self):
+        # The first append seems to be lost and a second one is prepared. Then the
+        # first one is accepted. Its send time is no longer known, so it must not
+        # grant any time.
         self.one.read(0.0)
         self.one.prepare(0.0)
         first = self.one.pending
@@ -113,9 +115,10 @@
         self.one.read(9.0)
         self.assertEqual(self.one.keeper.remaining_s(9.0), 0.0)
 
-    def test_expired_records_make_a_reader_wait_a_term(self):
-        # All records expired unread, among them that of the live holder. A
-        # reader that took the lease for free would give orders beside it.
+    def test_expired_records_make_a_reader_wait_one_term(self):
+        # All records expired unread, including the one of the current holder. A
+        # reader that assumed the lease to be free would send orders at the same
+        # time as the holder.
         self.one.step(0.0)
         self.log.expire(LEASES_STREAM, 99)
         self.other.read(1.0)
@@ -124,8 +127,9 @@
         self.assertEqual(self.other.keeper.remaining_s(1.0), 0.0)
 
     def test_a_paused_holder_does_not_acquire_over_expired_records(self):
-        # The holder pauses, a rival acquires, and its records expire before
-        # the first one reads again. It must wait, not renew what it lost.
+        # The holder is paused, another candidate acquires the lease, and its
+        # records expire before the first one reads again. The first one must
+        # wait instead of renewing a lease that it has lost.
         self.one.step(0.0)
         self.other.read(0.0)
         self.other.step(12.0)
@@ -136,7 +140,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Three candidates with clocks of their own origin, pauses and log faults."""
+    """Three candidates with different clock origins, pauses, restarts and log faults."""
 
     names = st.sampled_from(["a", "b", "c"])
 
@@ -146,26 +150,28 @@
         self.log = MemoryLogStore()
         numbers = itertools.count()
         self.origin = {"a": 0.0, "b": 500.0, "c": -70.0}
-        self.rivals = {name: Rival(name, self.log, numbers) for name in self.origin}
+        self.candidates = {
+            name: LeaseCandidate(name, self.log, numbers) for name in self.origin
+        }
 
     def clock(self, name):
         return self.now + self.origin[name]
 
     @rule(name=names)
     def read(self, name):
-        self.rivals[name].read(self.clock(name))
+        self.candidates[name].read(self.clock(name))
 
     @rule(name=names)
     def prepare(self, name):
-        self.rivals[name].prepare(self.clock(name))
+        self.candidates[name].prepare(self.clock(name))
 
     @rule(name=names)
     def send(self, name):
-        self.rivals[name].send()
+        self.candidates[name].send()
 
     @rule(name=names)
     def step(self, name):
-        self.rivals[name].step(self.clock(name))
+        self.candidates[name].step(self.clock(name))
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 7.5, 11.0, 40.0]))
     def wait(self, seconds):
@@ -177,7 +183,7 @@
 
     @rule(seconds=st.sampled_from([4.0, 7.5, 9.0]))
     def all_read_then_wait(self, seconds):
-        for name in self.rivals:
+        for name in self.candidates:
             self.read(name)
         self.now += seconds
 
@@ -188,7 +194,7 @@
     @rule(name=names)
     def restart(self, name):
         numbers = itertools.count(int(self.now * 10) * 1000 + 1)
-        self.rivals[name] = Rival(f"{name}{self.now}", self.log, numbers)
+        self.candidates[name] = LeaseCandidate(f"{name}{self.now}", self.log, numbers)
 
     @rule(kept=st.integers(0, 2))
     def expire(self, kept):
@@ -199,8 +205,8 @@
     def at_most_one_holds(self):
         holding = [
             name
-            for name, rival in self.rivals.items()
-            if rival.keeper.remaining_s(self.clock(name)) > 0.0
+            for name, candidate in self.candidates.items()
+            if candidate.keeper.remaining_s(self.clock(name)) > 0.0
         ]
         assert len(holding) <= 1, holding
 
@@ -210,10 +216,10 @@
 
 
 class ReleaseTest(unittest.TestCase):
-    def test_a_release_lets_a_rival_acquire_at_once(self):
+    def test_a_release_lets_another_candidate_acquire_at_once(self):
         log = MemoryLogStore()
         numbers = itertools.count()
-        one, other = Rival("one", log, numbers), Rival("other", log, numbers)
+        one, other = LeaseCandidate("one", log, numbers), LeaseCandidate("other", log, numbers)
         one.step(0.0)
         other.read(0.0)
         record = one.keeper.release()
