--- a/agaterail/cmd/gateway.py
+++ b/agaterail/cmd/gateway.py
@@ -14,11 +14,11 @@
 
 from agaterail import logs
 from agaterail.gateway.daemon import Daemon, boot_now
+from agaterail.gateway.gracefulstop import GracefulStop
 from agaterail.gateway.logbudget import HostField, LogBudget
 from agaterail.gateway.logsink import LogSink
 from agaterail.gateway.metrics import start_metrics
-from agaterail.gateway.startstages import StartStages
-from agaterail.gateway.stopping import Stopper
+from agaterail.gateway.startuptimer import StartupTimer
 from agaterail.platform import names
 from agaterail.platform.cacheevents import PlatformCacheFeed
 from agaterail.platform.engines import PlatformEngines
@@ -47,7 +47,7 @@
         Processor time of the process at that moment, in seconds.
     """
     began = boot_now() if started_at is None else started_at
-    stages = StartStages(began, processor_at, boot_now)
+    startup_timer = StartupTimer(began, processor_at, boot_now)
     path = settings_file or os.environ.get(names.SETTINGS_VARIABLE, "")
     if not path:
         print(
@@ -71,14 +71,14 @@
         stream=sink,
         processors=[HostField(chosen.host), LogBudget(boot_now)],
     )
-    stages.reached("Settings read.")
+    startup_timer.log_stage("Settings read.")
     store = PlatformStore(chosen.store.address, chosen.store.parts)
     try:
         daemon = Daemon(chosen, store, PlatformEngines(), PlatformCacheFeed())
     except OSError as error:
         print(f"{chosen.caller_listen} cannot be bound: {error}", file=sys.stderr)
         return EXIT_USAGE
-    stages.reached("Listening.")
+    startup_timer.log_stage("Listening.")
     daemon.log_lines_dropped = lambda: sink.dropped_in_all
     stopping = gevent.event.Event()
     gevent.signal_handler(signal.SIGTERM, stopping.set)
@@ -86,14 +86,16 @@
     gevent.signal_handler(signal.SIGHUP, _on_reload)
     # What the start has made stays for good; the collector need not look at it.
     gc.freeze()
-    stages.reached("Started.", host=chosen.host, boot=daemon.boot, domain=chosen.domain)
+    startup_timer.log_stage(
+        "Started.", host=chosen.host, boot=daemon.boot, domain=chosen.domain
+    )
     daemon.start()
-    gevent.spawn(stages.await_ready, daemon)
+    gevent.spawn(startup_timer.await_ready, daemon)
     if metrics:
         port, _, path = metrics.partition("/")
         start_metrics(daemon, Address(chosen.ip, int(port)), b"/" + path.encode())
     stopping.wait()
-    Stopper(daemon).run()
+    GracefulStop(daemon).run()
     return 0
 
 
--- a/agaterail/gateway/controlstore.py
+++ b/agaterail/gateway/controlstore.py
@@ -236,12 +236,12 @@
     ----------
     calls
         Calls made since the start.
-    on_heard
+    on_data
         Called whenever bytes of a read of a feed come.
     """
 
     calls = 0
-    on_heard: Callable[[Feed], None] = staticmethod(lambda _feed: None)
+    on_data: Callable[[Feed], None] = staticmethod(lambda _feed: None)
 
     @abc.abstractmethod
     def listing(self, feed: Feed) -> Result[FeedSlice, StoreError]:
--- a/agaterail/gateway/daemon.py
+++ b/agaterail/gateway/daemon.py
@@ -99,11 +99,11 @@
         self.feeds = FeedHub(self)
         self.kept = KeptController(
             cache_feed,
-            str(self.feeds.peer_answers.server.address),
+            str(self.feeds.peer_responder.server.address),
             lambda: self.feeds.readers,
             self.now,
         )
-        self.feeds.peer_answers.answers[keptcontroller.PATH] = self.kept.answer
+        self.feeds.peer_responder.handlers[keptcontroller.PATH] = self.kept.answer
         self.readiness = make_readiness(
             settings.ready_listen, names.READY_PATH, lambda: self.ready, self.now
         )
@@ -124,7 +124,7 @@
         self.greenlets.spawn(self._join_forever)
         self.subscriptions = [
             self.timers.every(self.weights.period_s, self.weights.step),
-            self.timers.every(HOUSEKEEPING_PERIOD_S, self.tidy),
+            self.timers.every(HOUSEKEEPING_PERIOD_S, self.housekeep),
         ]
         self.readiness.start()
         self.front.start()
@@ -133,7 +133,7 @@
         """End everything at once, as the process's end would."""
         for subscription in self.subscriptions:
             subscription.cancel()
-        for server in (self.front, self.readiness, self.feeds.peer_answers.server):
+        for server in (self.front, self.readiness, self.feeds.peer_responder.server):
             server.close()
         self.greenlets.kill(block=False)
 
@@ -146,11 +146,11 @@
                 logger.exception("Joining the fleet raised.")
             gevent.sleep(self.membership.period_s)
 
-    def tidy(self) -> None:
+    def housekeep(self) -> None:
         """Drop lapsed targets and connections that will not be used again."""
         for target in self.book.expire(self.now()):
             logger.info("Target gone for good.", target=target.instance)
-        self.state.note_age(self.now())
+        self.state.log_staleness(self.now())
         self.channels.close_stale()
         stores = [spec.address for spec in self._kv_stores()]
         self.kept.use_stores(stores, self.greenlets.spawn)
--- a/agaterail/gateway/directfollower.py
+++ b/agaterail/gateway/directfollower.py
@@ -9,7 +9,7 @@
 
 from agaterail import logs
 from agaterail.gateway.controlstore import NEVER, STORE, Arrival, Feed, Reading, StoreErrorKind
-from agaterail.gateway.feedtimes import DIRECT_WAITS_S, NEEDED_FEEDS, PEER_WAIT_S
+from agaterail.gateway.feedtimes import DIRECT_WAITS_S, PEER_WAIT_S, REQUIRED_FEEDS
 
 if TYPE_CHECKING:
     from agaterail.gateway.controlstore import StoreError
@@ -20,16 +20,16 @@
 # Pauses between failed reads, with jitter: an outage of seconds is noticed to
 # be over within half a second, at three calls a second and daemon at most. In a
 # larger fleet those that are no readers wait longer: their calls are most of all.
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.5
-LONGEST_PAUSE_OF_MANY_S = 1.0
-MANY_DAEMONS = 16
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 0.5
+LARGE_FLEET_MAX_BACKOFF_S = 1.0
+LARGE_FLEET_DAEMONS = 16
 # A read returns with the first record, and engines write some tens of them a second:
 # without a pause a daemon that reads for a second makes ten reads.
-PAUSE_OF_MANY_S = 0.25
+LARGE_FLEET_READ_PAUSE_S = 0.25
 # Whatever peers say of a feed, it is read once if nothing was heard of it for so long;
 # a reader that began later than this daemon cannot continue from its offset.
-OLDEST_OWN_S = 6.0
+MAX_READING_AGE_S = 6.0
 
 
 class DirectFollower:
@@ -59,13 +59,13 @@
         else:
             answer = daemon.store.follow(self.feed, offset, self._wait_s(sent_at))
         if not isinstance(answer, Success):
-            self._failed(answer.failure())
+            self._handle_error(answer.failure())
             return
         hub.relay.feeds[self.feed].failing = False
         if self.failures:
             logger.info("Store regained.", feed=self.feed.value, failures=self.failures)
             self.failures = 0
-            hub.asker.turns.forgive()
+            hub.poller.selector.reset()
             if self.feed is Feed.TARGETS:
                 daemon.book.store_returned(daemon.now())
         found = answer.unwrap()
@@ -83,16 +83,16 @@
         read_at = NEVER if self.behind else sent_at
         arrival = Arrival(STORE, now - sent_at, known_at=now, heard_at=now)
         reading = Reading(found.records, found.next_offset, read_at, listed, arrival)
-        hub.take_in(self.feed, reading)
-        if self._is_one_of_many():
-            gevent.sleep(PAUSE_OF_MANY_S)
+        hub.apply_reading(self.feed, reading)
+        if self._is_throttled():
+            gevent.sleep(LARGE_FLEET_READ_PAUSE_S)
 
     def _is_due(self) -> bool:
         hub = self.hub
-        for_callers = self.feed in NEEDED_FEEDS or hub.daemon.membership.is_reader
+        for_callers = self.feed in REQUIRED_FEEDS or hub.daemon.membership.is_reader
         if for_callers and hub.reads_directly:
             return True
-        return hub.daemon.now() - hub.read_at[self.feed] > OLDEST_OWN_S
+        return hub.daemon.now() - hub.read_at[self.feed] > MAX_READING_AGE_S
 
     def _wait_s(self, now: float) -> float:
         """Return how long a read waits for news."""
@@ -101,18 +101,18 @@
         # read waited, all that ask it would call it cut off.
         return wait_s if now - self.answered_at < 2.0 * wait_s else 0.0
 
-    def _is_one_of_many(self) -> bool:
+    def _is_throttled(self) -> bool:
         daemon = self.hub.daemon
-        return daemon.rules.daemons >= MANY_DAEMONS and not daemon.membership.is_reader
+        return daemon.rules.daemons >= LARGE_FLEET_DAEMONS and not daemon.membership.is_reader
 
-    def _longest_pause_s(self) -> float:
-        return LONGEST_PAUSE_OF_MANY_S if self._is_one_of_many() else LONGEST_PAUSE_S
+    def _max_backoff_s(self) -> float:
+        return LARGE_FLEET_MAX_BACKOFF_S if self._is_throttled() else MAX_BACKOFF_S
 
-    def _failed(self, error: StoreError) -> None:
+    def _handle_error(self, error: StoreError) -> None:
         if error.kind is StoreErrorKind.EXPIRED:
             # The history was dropped; the newest record of each key is kept.
             logger.info("History expired.", feed=self.feed.value)
-            self.hub.forget(self.feed)
+            self.hub.reset(self.feed)
             return
         if not self.failures:
             logger.warning(
@@ -125,5 +125,5 @@
         # A read that timed out may have waited behind our own answers on a slow link,
         # and others that read pass on what they have; silence shows by itself.
         self.hub.relay.feeds[self.feed].failing = not error.timed_out
-        pause = min(self._longest_pause_s(), FIRST_PAUSE_S * 2 ** (self.failures - 1))
+        pause = min(self._max_backoff_s(), INITIAL_BACKOFF_S * 2 ** (self.failures - 1))
         gevent.sleep(pause * (0.5 + self.hub.daemon.random.random()))
--- a/agaterail/gateway/documents.py
+++ b/agaterail/gateway/documents.py
@@ -14,7 +14,7 @@
 
 _MEMBERS = msgspec.json.Decoder(dict[str, msgspec.Raw])
 _ROWS = msgspec.json.Decoder(list[msgspec.Raw])
-LIST_BEGINS = b"["
+LIST_START = b"["
 
 
 @attrs.frozen
@@ -93,11 +93,14 @@
     """
     try:
         found = _MEMBERS.decode(text)
-        lists = {n for n, raw in found.items() if memoryview(raw)[:1] == LIST_BEGINS}
+        lists = {n for n, raw in found.items() if memoryview(raw)[:1] == LIST_START}
         return Success(
             Document(
                 {name: bytes(raw) for name, raw in found.items() if name not in lists},
-                {name: _rows(found[name], former.tables.get(name, ())) for name in lists},
+                {
+                    name: _decode_rows(found[name], former.tables.get(name, ()))
+                    for name in lists
+                },
             )
         )
     except msgspec.MsgspecError as error:
@@ -109,7 +112,7 @@
     return Difference(
         document.members,
         {
-            name: tuple(_pieces(former.tables.get(name, ()), rows))
+            name: tuple(_diff_rows(former.tables.get(name, ()), rows))
             for name, rows in document.tables.items()
         },
         document.checksum(),
@@ -120,7 +123,7 @@
     """Return the document that a difference makes of a former one."""
     try:
         tables = {
-            name: _joined(former.tables.get(name, ()), pieces)
+            name: _apply_pieces(former.tables.get(name, ()), pieces)
             for name, pieces in change.tables.items()
         }
     except IndexError as error:
@@ -131,31 +134,31 @@
     return Success(document)
 
 
-def _rows(text: msgspec.Raw, former: Sequence[bytes]) -> tuple[bytes, ...]:
+def _decode_rows(text: msgspec.Raw, former: Sequence[bytes]) -> tuple[bytes, ...]:
     known = {row: row for row in former}
     rows = (bytes(raw) for raw in _ROWS.decode(text))
     return tuple(known.get(row, row) for row in rows)
 
 
-def _pieces(former: Sequence[bytes], rows: Sequence[bytes]) -> Iterator[Piece]:
+def _diff_rows(former: Sequence[bytes], rows: Sequence[bytes]) -> Iterator[Piece]:
     places = {row: place for place, row in enumerate(former)}
     start = count = 0
-    fresh: list[bytes] = []
+    new_rows: list[bytes] = []
     for row in rows:
         end = start + count
-        if not fresh and end < len(former) and former[end] == row:
+        if not new_rows and end < len(former) and former[end] == row:
             count += 1
             continue
         place = places.get(row)
         if place is None:
-            fresh.append(row)
+            new_rows.append(row)
             continue
-        yield Piece(start, count, tuple(fresh))
-        start, count, fresh = place, 1, []
-    yield Piece(start, count, tuple(fresh))
+        yield Piece(start, count, tuple(new_rows))
+        start, count, new_rows = place, 1, []
+    yield Piece(start, count, tuple(new_rows))
 
 
-def _joined(former: Sequence[bytes], pieces: Sequence[Piece]) -> tuple[bytes, ...]:
+def _apply_pieces(former: Sequence[bytes], pieces: Sequence[Piece]) -> tuple[bytes, ...]:
     rows: list[bytes] = []
     for piece in pieces:
         end = piece.start + piece.count
--- a/agaterail/gateway/feedhub.py
+++ b/agaterail/gateway/feedhub.py
@@ -8,9 +8,9 @@
 
 from agaterail import logs
 from agaterail.gateway.controlstore import NEVER, DesiredPublished, Feed, LeaseChanged
-from agaterail.gateway.directfollower import LONGEST_PAUSE_S, DirectFollower
-from agaterail.gateway.peeranswers import PeerAnswers
-from agaterail.gateway.peerasker import PeerAsker
+from agaterail.gateway.directfollower import MAX_BACKOFF_S, DirectFollower
+from agaterail.gateway.peerpoller import PeerPoller
+from agaterail.gateway.peerresponder import PeerResponder
 from agaterail.gateway.relay import Relay
 from agaterail.util.address import Address
 from agaterail.util.greenlets import repeat
@@ -25,7 +25,7 @@
 
 # Between two answered reads lie a wait and a call; so much more is an outage,
 # in which registrations may have lapsed.
-OUTAGE_S = 3.5
+OUTAGE_THRESHOLD_S = 3.5
 
 
 class FeedHub:
@@ -51,21 +51,21 @@
         self.relay = Relay()
         self.offsets: dict[Feed, int] = {}
         self.read_at = dict.fromkeys(Feed, NEVER)
-        self.news = gevent.event.Event()
+        self.new_records = gevent.event.Event()
         self.wake_direct = gevent.event.Event()
         self.readers: tuple[str, ...] = ()
-        daemon.store.on_heard = lambda feed: self.relay.feeds[feed].hear(daemon.now())
+        daemon.store.on_data = lambda feed: self.relay.feeds[feed].record_contact(daemon.now())
         address = Address(daemon.settings.ip, daemon.settings.peer_ports[0])
-        self.peer_answers = PeerAnswers(self, address, daemon.now)
-        self.asker = PeerAsker(self, daemon, str(address))
+        self.peer_responder = PeerResponder(self, address, daemon.now)
+        self.poller = PeerPoller(self, daemon, str(address))
 
     def start(self) -> None:
         """Follow the feeds and answer peers."""
-        self.peer_answers.server.start()
+        self.peer_responder.server.start()
         steps = [DirectFollower(self, feed).step for feed in Feed]
-        for step in (*steps, self.asker.step):
+        for step in (*steps, self.poller.step):
             self.daemon.greenlets.spawn(
-                repeat, step, logger, "Following a feed raised.", LONGEST_PAUSE_S
+                repeat, step, logger, "Following a feed raised.", MAX_BACKOFF_S
             )
 
     @property
@@ -73,76 +73,78 @@
         """Tell whether this daemon reads the store itself."""
         return (
             self.daemon.membership.is_reader
-            or self.daemon.now() < self.asker.turns.direct_until
+            or self.daemon.now() < self.poller.selector.direct_until
             or len(self.offsets) < len(Feed)
-            or not self.asker.sound_peers()
+            or not self.poller.available_peers()
         )
 
-    def take_in(self, feed: Feed, reading: Reading) -> None:
+    def apply_reading(self, feed: Feed, reading: Reading) -> None:
         """Take in what a read brought, from the store or a peer."""
         if feed is Feed.OPERATORS and reading.records:
-            self.peer_answers.note_passed_on()
+            self.peer_responder.log_stats()
         at_start = feed not in self.offsets and self.read_at[feed] == NEVER
         if feed is Feed.TARGETS and not at_start:
-            self._note_outage(reading)
-        self._pass_on(feed, reading)
+            self._detect_outage(reading)
+        self._share_with_peers(feed, reading)
         changes = self.daemon.store.decode(feed, reading.records)
         now = self.daemon.now()
-        read_before, offset_before = self.read_at[feed], self.offsets.get(feed)
+        previous_read_at, previous_offset = self.read_at[feed], self.offsets.get(feed)
         next_offset = reading.next_offset
         self.offsets[feed] = max(next_offset, self.offsets.get(feed, next_offset))
         self.read_at[feed] = max(self.read_at[feed], reading.read_at)
         if feed is Feed.LEASE:
-            self._take_in_lease(changes, now, offset_before, read_before)
+            self._apply_lease(changes, now, previous_offset, previous_read_at)
         elif feed is Feed.TARGETS and reading.listed:
             self.daemon.state.apply_listing(changes, next_offset, now)
         else:
-            self.daemon.state.apply(changes, now, at_start, reading.arrival, read_before)
-            self._count_lateness(changes, reading.arrival)
+            self.daemon.state.apply(changes, now, at_start, reading.arrival, previous_read_at)
+            self._observe_delay(changes, reading.arrival)
         if feed is Feed.OPERATORS and reading.read_at != NEVER:
             self.daemon.freshness.confirm(reading.read_at)
 
-    def _note_outage(self, reading: Reading) -> None:
-        if reading.read_at - self.read_at[Feed.TARGETS] > OUTAGE_S:
+    def _detect_outage(self, reading: Reading) -> None:
+        if reading.read_at - self.read_at[Feed.TARGETS] > OUTAGE_THRESHOLD_S:
             self.daemon.book.store_returned(self.daemon.now())
 
-    def _pass_on(self, feed: Feed, reading: Reading) -> None:
+    def _share_with_peers(self, feed: Feed, reading: Reading) -> None:
         """Let peers have records that this daemon has not decoded yet."""
         kept = self.relay.feeds[feed]
-        kept.take_in(reading)
-        kept.hear(reading.arrival.heard_at)
+        kept.add_reading(reading)
+        kept.record_contact(reading.arrival.heard_at)
         if reading.records:
-            self.news.set()
-            self.news.clear()
+            self.new_records.set()
+            self.new_records.clear()
 
-    def use_readers(self, readers: tuple[str, ...]) -> None:
+    def set_readers(self, readers: tuple[str, ...]) -> None:
         """Take in who reads the store; a daemon that is new among them begins at once."""
-        own = self.asker.own_address
-        begins = own in readers and own not in self.readers
+        own = self.poller.own_address
+        starts_reading = own in readers and own not in self.readers
         self.readers = readers
-        if begins:
+        if starts_reading:
             self.wake_direct.set()
             self.wake_direct.clear()
 
-    def forget(self, feed: Feed) -> None:
+    def reset(self, feed: Feed) -> None:
         """Begin a feed anew with a listing."""
         self.offsets.pop(feed, None)
 
-    def _count_lateness(self, changes: Sequence[Change], arrival: Arrival) -> None:
+    def _observe_delay(self, changes: Sequence[Change], arrival: Arrival) -> None:
         """Count how long after the first daemon this one has a desired state in force."""
         if any(isinstance(change, DesiredPublished) for change in changes):
-            late_s = max(0.0, self.daemon.now() - arrival.known_at)
-            self.daemon.metrics.in_force.observe(late_s)
+            delay_s = max(0.0, self.daemon.now() - arrival.known_at)
+            self.daemon.metrics.in_force.observe(delay_s)
 
-    def _take_in_lease(
+    def _apply_lease(
         self,
         changes: Sequence[Change],
         now: float,
-        offset_before: int | None,
-        read_before: float,
+        previous_offset: int | None,
+        previous_read_at: float,
     ) -> None:
         records = [change for change in changes if isinstance(change, LeaseChanged)]
         newest = records[-1].entry if records else None
-        is_new = records and offset_before is not None and records[-1].offset >= offset_before
-        written_after = read_before if is_new else NEVER
+        is_new = (
+            records and previous_offset is not None and records[-1].offset >= previous_offset
+        )
+        written_after = previous_read_at if is_new else NEVER
         self.daemon.weights.on_lease(newest, self.offsets[Feed.LEASE], now, written_after)
--- a/agaterail/gateway/feedtimes.py
+++ b/agaterail/gateway/feedtimes.py
@@ -11,7 +11,7 @@
 DIRECT_WAITS_S = {Feed.OPERATORS: 0.6, Feed.TARGETS: 0.6, Feed.LEASE: 2.0}
 # Feeds whose age makes a peer's answer useless. Who holds the lease is no news that
 # callers wait for.
-NEEDED_FEEDS = frozenset({Feed.OPERATORS, Feed.TARGETS})
+REQUIRED_FEEDS = frozenset({Feed.OPERATORS, Feed.TARGETS})
 # How long a question waits at a peer for news.
 PEER_WAIT_S = 0.6
 # A reader on a sound connection hears of the store after a wait and a slow call at
@@ -22,6 +22,6 @@
 SLOW_CALL_S = 0.6
 
 
-def longest_silence_s(feed: Feed) -> float:
+def max_silence_s(feed: Feed) -> float:
     """Return for how long a reader on a sound connection may hear nothing."""
     return DIRECT_WAITS_S[feed] + SLOW_CALL_S
--- a/agaterail/gateway/stopping.py
+++ b/agaterail/gateway/gracefulstop.py
@@ -18,10 +18,10 @@
 BALANCER_LAG_S = 3.0
 # The process must be gone before the platform kills it.
 KILL_MARGIN_S = 0.4
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
-class Stopper:
+class GracefulStop:
     """Ends a daemon without cutting a request.
 
     Readiness fails at once while the listener stays open: connections that the
@@ -39,7 +39,7 @@
         daemon.stopping = True
         daemon.front.begin_stop()
         logger.info("Stopping.", busy=daemon.front.busy)
-        gevent.spawn(self._hand_over)
+        gevent.spawn(self._leave_fleet)
         last = began + daemon.settings.bounds.grace_s - KILL_MARGIN_S
         lag = min(BALANCER_LAG_S, daemon.settings.bounds.grace_s / 2.0)
         gevent.sleep(lag)
@@ -47,9 +47,9 @@
         daemon.front.stop_accepting()
         while daemon.front.connections and daemon.now() < last:
             daemon.front.close_idle()
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
         logger.info("Stopped.", took_s=round(daemon.now() - began, 3), cut=daemon.front.busy)
 
-    def _hand_over(self) -> None:
+    def _leave_fleet(self) -> None:
         self.daemon.weights.release()
         self.daemon.membership.leave()
--- a/agaterail/gateway/membership.py
+++ b/agaterail/gateway/membership.py
@@ -21,50 +21,50 @@
 # fleet, so that a dead holder of the lease is replaced soon; in a larger one the
 # joins of all together are kept at some 20 a second and less.
 JOIN_PERIOD_S = 0.8
-LONGEST_JOIN_PERIOD_S = 2.0
+MAX_JOIN_PERIOD_S = 2.0
 MEMBERS_PER_PERIOD = 8
 JOINS_IN_TTL = 3.1
 # Daemons that read the store for the others: two, so that one may die, and one
 # for each 24 more, as each question takes a reader 0.3 ms a second.
-LEAST_READERS = 2
-ASKERS_PER_READER = 24
-MOST_READERS = 8
+MIN_READERS = 2
+POLLERS_PER_READER = 24
+MAX_READERS = 8
 # Who the readers are is looked up at most so often.
-LOOK_UP_PERIOD_S = 2.0
+READER_LOOKUP_PERIOD_S = 2.0
 # A daemon goes on reading for so long after it was a reader: the others ask it until
 # they have learned who reads now. Without it each change of the fleet had all daemons
 # find an old reading and read the store for a second.
 READER_GRACE_S = 5.0
 UNKNOWN_GENERATION = -1
 # Shares bound estimates only where they are sensible.
-LEAST_SHARE = 0.002
+MIN_SHARE = 0.002
 FIRST_RANK = 0
-ADDRESS_MARK = "@"
-LINK_MARK = "~"
+ADDRESS_SEPARATOR = "@"
+LINK_SEPARATOR = "~"
 # A link that brings a large desired state in well under a second and passes it on to
 # all askers in as much; more of it is no reason to prefer a daemon as a reader.
-AMPLE_LINK_MBPS = 50.0
+SUFFICIENT_LINK_MBPS = 50.0
 
 
 def member_name(host: str, address: str, boot: str, link_mbps: float = 0.0) -> str:
     """Return a member's name, which says where its peers reach it, and how fast."""
-    return f"{host}.{boot}{LINK_MARK}{link_mbps:.0f}{ADDRESS_MARK}{address}"
+    return f"{host}.{boot}{LINK_SEPARATOR}{link_mbps:.0f}{ADDRESS_SEPARATOR}{address}"
 
 
 def address_of(member: str) -> str:
     """Return the address in a member's name; empty if there is none."""
-    return member.rpartition(ADDRESS_MARK)[2] if ADDRESS_MARK in member else ""
+    return member.rpartition(ADDRESS_SEPARATOR)[2] if ADDRESS_SEPARATOR in member else ""
 
 
 def link_of(member: str) -> float:
     """Return the link in a member's name in Mbit/s; 0 if there is none."""
-    link = member.rpartition(ADDRESS_MARK)[0].rpartition(LINK_MARK)[2]
+    link = member.rpartition(ADDRESS_SEPARATOR)[0].rpartition(LINK_SEPARATOR)[2]
     return float(link) if link.isdecimal() else 0.0
 
 
 def reader_count(daemons: float) -> int:
     """Return how many daemons read the store in a fleet of this size."""
-    return min(MOST_READERS, max(LEAST_READERS, math.ceil(daemons / ASKERS_PER_READER)))
+    return min(MAX_READERS, max(MIN_READERS, math.ceil(daemons / POLLERS_PER_READER)))
 
 
 def choose_readers(members: Mapping[int, str], daemons: float) -> tuple[str, ...]:
@@ -81,7 +81,7 @@
         Names by the number of a partition that each holds.
     """
     names = [name for _, name in sorted(members.items()) if address_of(name)]
-    names.sort(key=lambda name: -min(link_of(name), AMPLE_LINK_MBPS))
+    names.sort(key=lambda name: -min(link_of(name), SUFFICIENT_LINK_MBPS))
     addresses = dict.fromkeys(map(address_of, names))
     return tuple(addresses)[: reader_count(daemons)]
 
@@ -100,10 +100,10 @@
         self.valid_until = 0.0
         self.reader_until = 0.0
         # The known readers have no news: others read now, it seems.
-        self.misled = False
+        self.readers_stale = False
         self.ranks: frozenset[int] = frozenset()
         self.period_s = JOIN_PERIOD_S
-        self.looked_up = (UNKNOWN_GENERATION, float("-inf"))
+        self.last_lookup = (UNKNOWN_GENERATION, float("-inf"))
         self.address = f"{daemon.settings.ip}:{daemon.settings.peer_ports[0]}"
         self.member = member_name(
             daemon.settings.host, self.address, daemon.boot, daemon.settings.link_mbps
@@ -134,12 +134,12 @@
         ttl_s = max(self.period_s * JOINS_IN_TTL, self.daemon.settings.store.member_ttl_min_s)
         answer = self.daemon.store.join(self.member, ttl_s, self.generation)
         if isinstance(answer, Success):
-            self._take_in(answer.unwrap(), sent_at + ttl_s)
+            self._apply_membership(answer.unwrap(), sent_at + ttl_s)
         elif self.daemon.now() >= self.valid_until and self.daemon.budget.share:
             logger.warning("Share of the fleet lost.", reason=answer.failure().kind.value)
             self.daemon.budget.share = 0.0
             self.ranks = frozenset()
-        self._look_up(self.daemon.now())
+        self._refresh_readers(self.daemon.now())
 
     def leave(self) -> None:
         """Leave the fleet."""
@@ -149,7 +149,7 @@
         if not isinstance(left, Success):
             logger.info("The fleet was not told.", reason=left.failure().kind.value)
 
-    def _take_in(self, found: Membership, valid_until: float) -> None:
+    def _apply_membership(self, found: Membership, valid_until: float) -> None:
         if found.generation != self.generation:
             logger.info(
                 "Share of the fleet.",
@@ -162,32 +162,32 @@
         self.daemon.budget.share = found.share
         self.ranks = found.ranks
         if found.share:
-            daemons = 1.0 / max(LEAST_SHARE, found.share)
+            daemons = 1.0 / max(MIN_SHARE, found.share)
             self.daemon.set_fleet_size(daemons)
             self.period_s = min(
-                LONGEST_JOIN_PERIOD_S,
+                MAX_JOIN_PERIOD_S,
                 JOIN_PERIOD_S * max(1.0, daemons / MEMBERS_PER_PERIOD),
             )
 
-    def _look_up(self, now: float) -> None:
+    def _refresh_readers(self, now: float) -> None:
         """Find out who reads the store, where it is on this daemon to know."""
         hub = self.daemon.feeds
-        generation, at = self.looked_up
+        generation, at = self.last_lookup
         # Two former readers that knew of none but each other were asked by the whole
         # fleet, which found old readings and read the store.
         was_reader = now < self.reader_until
-        asks_itself = bool(self.ranks) or was_reader or self.misled or not hub.readers
-        if not asks_itself or now - at < LOOK_UP_PERIOD_S:
+        needs_lookup = bool(self.ranks) or was_reader or self.readers_stale or not hub.readers
+        if not needs_lookup or now - at < READER_LOOKUP_PERIOD_S:
             return
-        if generation == self.generation and not self.misled:
+        if generation == self.generation and not self.readers_stale:
             return
         found = self.daemon.store.members()
         if not isinstance(found, Success):
             return
         daemons = self.daemon.rules.daemons
-        hub.use_readers(choose_readers(found.unwrap(), daemons))
-        self.misled = False
+        hub.set_readers(choose_readers(found.unwrap(), daemons))
+        self.readers_stale = False
         # While partitions are dealt anew, few of them have an owner. Was one reader
         # all that was found and not looked up again, its loss cut all from news.
         complete = len(hub.readers) >= reader_count(daemons)
-        self.looked_up = (self.generation if complete else UNKNOWN_GENERATION, now)
+        self.last_lookup = (self.generation if complete else UNKNOWN_GENERATION, now)
--- a/agaterail/gateway/peerasker.py
+++ b/agaterail/gateway/peerpoller.py
@@ -8,26 +8,26 @@
 from returns.result import Success
 
 from agaterail import logs
-from agaterail.gateway import peerfeed
+from agaterail.gateway import peerprotocol
 from agaterail.gateway.controlstore import Arrival, Feed, Reading
-from agaterail.gateway.feedtimes import NEEDED_FEEDS, PEER_WAIT_S, longest_silence_s
-from agaterail.gateway.peerfeed import Question
-from agaterail.gateway.peerturns import PeerTurns
+from agaterail.gateway.feedtimes import PEER_WAIT_S, REQUIRED_FEEDS, max_silence_s
+from agaterail.gateway.peerprotocol import PeerQuery
+from agaterail.gateway.peerselector import PeerSelector
 from agaterail.util.httpconn import ConnectionsByAddress
 
 if TYPE_CHECKING:
     from agaterail.gateway.daemon import Daemon
     from agaterail.gateway.feedhub import FeedHub
-    from agaterail.gateway.peerfeed import FeedNews, PeerAnswer
+    from agaterail.gateway.peerprotocol import FeedNews, PeerAnswer
 
 logger = logs.get_logger("feeds")
 
 # How long a question waits for an answer beyond the wait for news.
-PEER_SLACK_S = 0.35
+PEER_TIMEOUT_MARGIN_S = 0.35
 OK = 200
 
 
-class PeerAsker:
+class PeerPoller:
     """Asks one reader after the other for news.
 
     Readers are asked in turn: one whose channel to the store has gone silent
@@ -36,7 +36,7 @@
 
     Attributes
     ----------
-    differences_fit
+    differences_applied
         The last differences made documents; else whole documents are asked for.
     """
 
@@ -44,66 +44,66 @@
         self.hub = hub
         self.daemon = daemon
         self.own_address = own_address
-        self.turns = PeerTurns(turn=daemon.random.randrange(1 << 16))
-        self.peers = ConnectionsByAddress(PEER_SLACK_S)
-        self.differences_fit = True
+        self.selector = PeerSelector(poll_count=daemon.random.randrange(1 << 16))
+        self.connections = ConnectionsByAddress(PEER_TIMEOUT_MARGIN_S)
+        self.differences_applied = True
 
     def step(self) -> None:
         """Ask one reader for news, if it is on this daemon to ask."""
         hub = self.hub
-        sound = self.sound_peers()
+        available = self.available_peers()
         # Readers ask each other too: a version takes a second to reach a reader with a
         # slow link or a slow processor, and its askers waited for that while another
         # reader had it.
         is_reader = self.daemon.membership.is_reader and len(hub.offsets) == len(Feed)
-        if not sound or (hub.reads_directly and not is_reader):
+        if not available or (hub.reads_directly and not is_reader):
             gevent.sleep(PEER_WAIT_S)
             return
-        address = self.turns.pick(sound)
+        address = self.selector.pick(available)
         asked_at = self.daemon.now()
-        answer = self.ask(address)
+        answer = self.poll(address)
         problem = (
-            answer
-            if isinstance(answer, str)
-            else self.take_in_answer(address, answer, asked_at)
+            answer if isinstance(answer, str) else self.apply_answer(address, answer, asked_at)
         )
         if not problem:
-            self.turns.had_news(address)
+            self.selector.record_success(address)
             return
         logger.info("Peer gave no news.", peer=address, reason=problem)
-        now, left = self.daemon.now(), len(self.sound_peers())
-        if self.turns.had_none(address, left - 1, now) and not is_reader:
-            self.daemon.membership.misled = True
+        now, left = self.daemon.now(), len(self.available_peers())
+        if self.selector.record_failure(address, left - 1, now) and not is_reader:
+            self.daemon.membership.readers_stale = True
             hub.wake_direct.set()
             hub.wake_direct.clear()
 
-    def ask(self, address: str) -> PeerAnswer | str:
+    def poll(self, address: str) -> PeerAnswer | str:
         """Return a peer's answer, or why there is none."""
         # After an answer without news, what the next peer knows is wanted at once.
-        wait_s = 0.0 if self.turns.problems_in_a_row else PEER_WAIT_S
-        held = self.hub.relay.held() if self.differences_fit else ()
-        question = peerfeed.encode_question(Question(self.hub.offsets, held, wait_s))
-        called = self.peers.to(address).call("GET", question, timeout_s=wait_s + PEER_SLACK_S)
+        wait_s = 0.0 if self.selector.consecutive_failures else PEER_WAIT_S
+        base_offsets = self.hub.relay.base_offsets() if self.differences_applied else ()
+        query = peerprotocol.encode_query(PeerQuery(self.hub.offsets, base_offsets, wait_s))
+        called = self.connections.to(address).call(
+            "GET", query, timeout_s=wait_s + PEER_TIMEOUT_MARGIN_S
+        )
         if not isinstance(called, Success):
-            self.peers.drop(address)
+            self.connections.drop(address)
             return called.failure().reason
         status, body = called.unwrap()
         if status != OK:
             return f"status {status}"
-        decoded = peerfeed.decode_answer(body)
+        decoded = peerprotocol.decode_answer(body)
         return decoded.unwrap() if isinstance(decoded, Success) else str(decoded.failure())
 
-    def take_in_answer(self, address: str, answer: PeerAnswer, asked_at: float) -> str:
+    def apply_answer(self, address: str, answer: PeerAnswer, asked_at: float) -> str:
         """Take in a peer's answer; returns why it is of no use, if so."""
         took_s = self.daemon.now() - asked_at
         # Readers look up who reads. Two that took each other's lists would keep an old
         # one alive, and send all that ask them to daemons that read no longer.
         if answer.readers and not self.daemon.membership.is_reader:
-            self.hub.use_readers(answer.readers)
+            self.hub.set_readers(answer.readers)
         problem = ""
         for feed in Feed:
             news = answer.feeds.get(feed)
-            matters = feed in NEEDED_FEEDS
+            matters = feed in REQUIRED_FEEDS
             if news is None:
                 if matters:
                     problem = f"no {feed.value} from offset {self.hub.offsets[feed]}"
@@ -117,27 +117,27 @@
                 known_at=answered_at - news.known_s,
                 heard_at=answered_at - news.heard_s,
             )
-            problem = self._take_in_news(feed, news, answered_at, arrival) or problem
-            if matters and news.heard_s > longest_silence_s(feed):
+            problem = self._apply_news(feed, news, answered_at, arrival) or problem
+            if matters and news.heard_s > max_silence_s(feed):
                 problem = f"it heard of {feed.value} {news.heard_s:.2f} s ago"
             elif matters and news.age_s > self.daemon.freshness.denial_bound_s:
                 problem = f"its reading of {feed.value} is {news.age_s:.2f} s old"
         return problem
 
-    def _take_in_news(
+    def _apply_news(
         self, feed: Feed, news: FeedNews, answered_at: float, arrival: Arrival
     ) -> str:
         unpacked = self.hub.relay.feeds[feed].unpack(news.records)
         if feed is Feed.OPERATORS:
             # One that does not fit changes nothing; the whole is asked for next.
-            self.differences_fit = isinstance(unpacked, Success)
+            self.differences_applied = isinstance(unpacked, Success)
         if not isinstance(unpacked, Success):
             return f"{feed.value}: {unpacked.failure()}"
         read_at = answered_at - news.age_s
         reading = Reading(unpacked.unwrap(), news.next_offset, read_at, arrival=arrival)
-        self.hub.take_in(feed, reading)
+        self.hub.apply_reading(feed, reading)
         return ""
 
-    def sound_peers(self) -> list[str]:
+    def available_peers(self) -> list[str]:
         """Return the readers that may be asked."""
-        return self.turns.sound(self.hub.readers, self.own_address, self.daemon.now())
+        return self.selector.available(self.hub.readers, self.own_address, self.daemon.now())
--- a/agaterail/gateway/peerfeed.py
+++ b/agaterail/gateway/peerprotocol.py
@@ -18,11 +18,11 @@
 # that there is none, and are taken for peers without news.
 PATH = b"/feeds/2"
 # A record that has been known for longer was there before anybody's start.
-LONGEST_KNOWN_S = 3600.0
+MAX_KNOWN_S = 3600.0
 
 
 @attrs.frozen
-class Question:
+class PeerQuery:
     """What an asker has, and how long it waits for more.
 
     Attributes
@@ -34,7 +34,7 @@
     """
 
     offsets: dict[Feed, int]
-    held: tuple[int, ...]
+    base_offsets: tuple[int, ...]
     wait_s: float
 
 
@@ -81,14 +81,14 @@
 _DECODER = msgspec.msgpack.Decoder(PeerAnswer)
 
 
-def encode_question(question: Question) -> str:
+def encode_query(query: PeerQuery) -> str:
     """Return the path and query of a question."""
-    pairs = [f"{feed.value}={offset}" for feed, offset in question.offsets.items()]
-    pairs.append("held=" + ",".join(map(str, question.held)))
-    return f"{PATH.decode()}?wait={question.wait_s:.3f}&" + "&".join(pairs)
+    pairs = [f"{feed.value}={offset}" for feed, offset in query.offsets.items()]
+    pairs.append("held=" + ",".join(map(str, query.base_offsets)))
+    return f"{PATH.decode()}?wait={query.wait_s:.3f}&" + "&".join(pairs)
 
 
-def decode_question(query: bytes) -> Question:
+def decode_query(query: bytes) -> PeerQuery:
     """Return the question in a query.
 
     Raises
@@ -98,25 +98,25 @@
     """
     found = dict(pair.split("=", 1) for pair in query.decode("ascii").split("&"))
     offsets = {feed: int(found[feed.value]) for feed in Feed if feed.value in found}
-    held = tuple(map(int, filter(None, found.get("held", "").split(","))))
-    return Question(offsets, held, float(found.get("wait", "0")))
+    base_offsets = tuple(map(int, filter(None, found.get("held", "").split(","))))
+    return PeerQuery(offsets, base_offsets, float(found.get("wait", "0")))
 
 
 def encode_answer(
     relay: Relay,
-    question: Question,
+    query: PeerQuery,
     readers: tuple[str, ...],
     now: float,
     waited_s: float = 0.0,
 ) -> bytes:
     """Return the body of an answer."""
     feeds: dict[Feed, FeedNews] = {}
-    for feed, offset in question.offsets.items():
+    for feed, offset in query.offsets.items():
         kept = relay.feeds[feed]
-        records = kept.pack_since(offset, question.held)
+        records = kept.pack_since(offset, query.base_offsets)
         if records is None or kept.failing:
             continue
-        known_s = min(LONGEST_KNOWN_S, now - kept.known_at)
+        known_s = min(MAX_KNOWN_S, now - kept.known_at)
         feeds[feed] = FeedNews(
             age_s=now - kept.read_at,
             known_s=known_s,
--- a/agaterail/gateway/peeranswers.py
+++ b/agaterail/gateway/peerresponder.py
@@ -7,9 +7,9 @@
 import attrs
 
 from agaterail import logs
-from agaterail.gateway import peerfeed
+from agaterail.gateway import peerprotocol
 from agaterail.gateway.desired import CallerLimits
-from agaterail.gateway.feedtimes import NEEDED_FEEDS, PEER_WAIT_S, longest_silence_s
+from agaterail.gateway.feedtimes import PEER_WAIT_S, REQUIRED_FEEDS, max_silence_s
 from agaterail.gateway.front import Front
 from agaterail.util.units import MS_PER_S
 
@@ -25,11 +25,11 @@
 
 OK, BAD_REQUEST, NOT_FOUND = 200, 400, 404
 # Answers that fill more than a few packets.
-LARGE_BYTES = 4096
+LARGE_ANSWER_BYTES = 4096
 
 
 @attrs.define
-class PassedOn:
+class AnswerStats:
     """What answering peers cost.
 
     Attributes
@@ -51,68 +51,70 @@
         self.encode_s += encode_s
 
 
-class PeerAnswers:
+class PeerResponder:
     """Listens for peers and tells them what this daemon knows.
 
     Attributes
     ----------
-    answers
+    handlers
         What makes the body of an answer of a query, by path.
     """
 
     def __init__(self, hub: FeedHub, address: Address, now: Callable[[], float]) -> None:
         self.hub = hub
         self.now = now
-        self.passed_on = PassedOn()
-        self.answers: dict[bytes, Callable[[bytes], bytes]] = {
-            peerfeed.PATH: self._answer_news
+        self.stats = AnswerStats()
+        self.handlers: dict[bytes, Callable[[bytes], bytes]] = {
+            peerprotocol.PATH: self._answer_news
         }
         self.server = Front(address, self.handle, CallerLimits, now)
 
     def handle(self, inbound: Inbound, caller: CallerConnection) -> None:
         """Answer a question."""
         path, _, query = inbound.target.partition(b"?")
-        answer = self.answers.get(path)
-        if answer is None:
+        handler = self.handlers.get(path)
+        if handler is None:
             caller.send_answer(NOT_FOUND, [], b"")
             return
         try:
-            body = answer(query)
+            body = handler(query)
         except ValueError:
             caller.send_answer(BAD_REQUEST, [], b"")
             return
-        send = caller.send_answer if len(body) < LARGE_BYTES else caller.send_large_answer
+        send = (
+            caller.send_answer if len(body) < LARGE_ANSWER_BYTES else caller.send_large_answer
+        )
         send(OK, [], body)
 
     def _answer_news(self, query: bytes) -> bytes:
-        question = peerfeed.decode_question(query)
-        came_at = self.now()
-        if not self.hub.relay.has_news(question.offsets) and not self._is_stale():
-            self.hub.news.wait(min(question.wait_s, PEER_WAIT_S))
+        question = peerprotocol.decode_query(query)
+        received_at = self.now()
+        if not self.hub.relay.has_new_records(question.offsets) and not self._is_stale():
+            self.hub.new_records.wait(min(question.wait_s, PEER_WAIT_S))
         now = self.now()
-        body = peerfeed.encode_answer(
-            self.hub.relay, question, self.hub.readers, now, now - came_at
+        body = peerprotocol.encode_answer(
+            self.hub.relay, question, self.hub.readers, now, now - received_at
         )
-        self.passed_on.add(len(body), self.now() - now)
+        self.stats.add(len(body), self.now() - now)
         return body
 
-    def note_passed_on(self) -> None:
+    def log_stats(self) -> None:
         """Say what passing on cost while the former desired state was the newest."""
-        passed_on, self.passed_on = self.passed_on, PassedOn()
-        if passed_on.answers:
+        stats, self.stats = self.stats, AnswerStats()
+        if stats.answers:
             logger.info(
                 "News passed on.",
-                answers=passed_on.answers,
-                size=passed_on.size,
-                largest=passed_on.largest,
-                encode_ms=round(passed_on.encode_s * MS_PER_S, 1),
+                answers=stats.answers,
+                size=stats.size,
+                largest=stats.largest,
+                encode_ms=round(stats.encode_s * MS_PER_S, 1),
             )
 
     def _is_stale(self) -> bool:
         """Tell whether a peer should not wait for news here."""
         now = self.now()
         return any(
-            now - kept.heard_at > longest_silence_s(feed)
+            now - kept.heard_at > max_silence_s(feed)
             for feed, kept in self.hub.relay.feeds.items()
-            if feed in NEEDED_FEEDS
+            if feed in REQUIRED_FEEDS
         )
--- a/agaterail/gateway/peerturns.py
+++ b/agaterail/gateway/peerselector.py
@@ -12,21 +12,21 @@
 # A peer without news is not asked for so long, twice as long after each further
 # answer without news in a row: while a reader is cut off from the store, each question
 # to it has a daemon read the store itself for a second.
-LEFT_ALONE_S = 2.5
-LONGEST_LEFT_ALONE_S = 10.0
+INITIAL_BACKOFF_S = 2.5
+MAX_BACKOFF_S = 10.0
 # The store is read directly for so long after two peers in a row had no news, or one
 # of few: the next may be as badly off, and news must not wait for a third.
-DIRECT_S = 1.0
-PROBLEMS_BEFORE_DIRECT = 2
+DIRECT_READ_S = 1.0
+FAILURES_BEFORE_DIRECT_READ = 2
 # With fewer readers beside one without news, these may well be cut off with it, and a
 # question to each takes its wait: two readers that the store turned away at once left a
 # daemon on the former desired state for longer than allowed. With three or more the
 # last one shows its silence a wait after the first.
-FEW_READERS = 2
+MIN_OTHER_READERS = 2
 
 
 @attrs.define
-class PeerTurns:
+class PeerSelector:
     """Readers are asked in turn; free of I/O.
 
     After a peer without news the next one is asked at once, as long as there are
@@ -34,38 +34,38 @@
 
     Attributes
     ----------
-    turn
+    poll_count
         Counts the questions; peers begin at different ones.
     direct_until
         Time until which the store is read directly.
     """
 
-    turn: int = 0
+    poll_count: int = 0
     direct_until: float = 0.0
-    problems_in_a_row: int = 0
-    problems: dict[str, int] = attrs.field(factory=dict)
-    left_alone_until: dict[str, float] = attrs.field(factory=dict)
+    consecutive_failures: int = 0
+    failures: dict[str, int] = attrs.field(factory=dict)
+    backoff_until: dict[str, float] = attrs.field(factory=dict)
 
-    def sound(self, readers: Iterable[str], own: str, now: float) -> list[str]:
+    def available(self, readers: Iterable[str], own: str, now: float) -> list[str]:
         """Return the readers that may be asked."""
         return [
             address
             for address in readers
-            if address != own and now >= self.left_alone_until.get(address, 0.0)
+            if address != own and now >= self.backoff_until.get(address, 0.0)
         ]
 
-    def pick(self, sound: list[str]) -> str:
+    def pick(self, available: list[str]) -> str:
         """Return the one of them that is asked now."""
-        self.turn += 1
-        return sound[self.turn % len(sound)]
+        self.poll_count += 1
+        return available[self.poll_count % len(available)]
 
-    def had_news(self, address: str) -> None:
+    def record_success(self, address: str) -> None:
         """Take in that a peer is well."""
-        self.problems.pop(address, None)
-        self.left_alone_until.pop(address, None)
-        self.problems_in_a_row = 0
+        self.failures.pop(address, None)
+        self.backoff_until.pop(address, None)
+        self.consecutive_failures = 0
 
-    def had_none(self, address: str, others: int, now: float) -> bool:
+    def record_failure(self, address: str, others: int, now: float) -> bool:
         """Take in that a peer was silent or behind; tells whether to read directly.
 
         Parameters
@@ -73,18 +73,21 @@
         others
             Readers beside it that may be asked.
         """
-        before = self.problems.get(address, 0)
-        self.problems[address] = before + 1
-        pause = min(LONGEST_LEFT_ALONE_S, LEFT_ALONE_S * 2.0**before)
-        self.left_alone_until[address] = now + pause
-        self.problems_in_a_row += 1
-        if others < FEW_READERS or self.problems_in_a_row >= PROBLEMS_BEFORE_DIRECT:
-            self.direct_until = now + DIRECT_S
+        before = self.failures.get(address, 0)
+        self.failures[address] = before + 1
+        pause = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**before)
+        self.backoff_until[address] = now + pause
+        self.consecutive_failures += 1
+        if (
+            others < MIN_OTHER_READERS
+            or self.consecutive_failures >= FAILURES_BEFORE_DIRECT_READ
+        ):
+            self.direct_until = now + DIRECT_READ_S
             return True
         return False
 
-    def forgive(self) -> None:
+    def reset(self) -> None:
         """Ask all again: the store was away for this daemon too, and is back."""
-        self.problems.clear()
-        self.left_alone_until.clear()
-        self.problems_in_a_row = 0
+        self.failures.clear()
+        self.backoff_until.clear()
+        self.consecutive_failures = 0
--- a/agaterail/gateway/relay.py
+++ b/agaterail/gateway/relay.py
@@ -22,10 +22,10 @@
             Feed.LEASE: RecordFeed(),
         }
 
-    def has_news(self, offsets: dict[Feed, int]) -> bool:
+    def has_new_records(self, offsets: dict[Feed, int]) -> bool:
         """Tell whether a peer with these offsets has something to learn."""
         return any(self.feeds[feed].next_offset > offset for feed, offset in offsets.items())
 
-    def held(self) -> tuple[int, ...]:
+    def base_offsets(self) -> tuple[int, ...]:
         """Return the offsets of records that a peer's differences may start from."""
-        return self.feeds[Feed.OPERATORS].held
+        return self.feeds[Feed.OPERATORS].base_offsets
--- a/agaterail/gateway/relayed/__init__.py
+++ b/agaterail/gateway/relayed/__init__.py
@@ -60,22 +60,22 @@
     known_at: float = NEVER
     heard_at: float = NEVER
 
-    def hear(self, at: float) -> None:
+    def record_contact(self, at: float) -> None:
         """Note that the store was heard of."""
         self.heard_at = max(self.heard_at, at)
 
     @property
-    def held(self) -> tuple[int, ...]:
+    def base_offsets(self) -> tuple[int, ...]:
         """Return the offsets of records that a difference may start from."""
         return ()
 
     @abc.abstractmethod
-    def take_in(self, reading: Reading) -> None:
+    def add_reading(self, reading: Reading) -> None:
         """Take in what a read brought; a listing holds the newest of each key."""
 
     @abc.abstractmethod
     def pack_since(
-        self, offset: int, held: Collection[int] = ()
+        self, offset: int, base_offsets: Collection[int] = ()
     ) -> Sequence[PackedRecord] | None:
         """Return what a peer lacks from an offset on; None if not all is known.
 
--- a/agaterail/gateway/relayed/documents.py
+++ b/agaterail/gateway/relayed/documents.py
@@ -22,13 +22,13 @@
 
 # Versions of a document that differences may start from. Versions follow each other
 # several a second at most, and a peer that asks twice a second has one of the last.
-KEPT_VERSIONS = 16
+MAX_VERSIONS = 16
 # Better levels take twice the time for few bytes less.
 COMPRESSION_LEVEL = 1
 # A difference that unpacks to more is refused.
 MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 # Base of a difference from nothing: it is the whole document.
-NOTHING = -1
+NO_BASE = -1
 
 
 @attrs.define
@@ -45,25 +45,25 @@
     ----------
     versions
         The latest records of each key, the newest last.
-    packed
+    pack_cache
         Packed differences by offset of the result and of the base.
-    begun
+    has_listing
         All keys are known, as of some listing.
     """
 
     versions: dict[str, deque[DocumentRecord]] = attrs.field(factory=dict)
-    packed: dict[tuple[int, int], bytes] = attrs.field(factory=dict)
-    begun: bool = False
+    pack_cache: dict[tuple[int, int], bytes] = attrs.field(factory=dict)
+    has_listing: bool = False
 
     @property
-    def held(self) -> tuple[int, ...]:
+    def base_offsets(self) -> tuple[int, ...]:
         """Return the offsets of the newest records."""
         return tuple(versions[-1].offset for versions in self.versions.values())
 
-    def take_in(self, reading: Reading) -> None:
+    def add_reading(self, reading: Reading) -> None:
         """Take in documents; older ones than those that are known bring nothing."""
         self.read_at = max(self.read_at, reading.read_at)
-        self.begun = self.begun or reading.listed
+        self.has_listing = self.has_listing or reading.listed
         for record in reading.records:
             if isinstance(record, DocumentRecord):
                 self._put(record)
@@ -72,13 +72,15 @@
             self.known_at = reading.arrival.known_at
 
     def pack_since(
-        self, offset: int, held: Collection[int] = ()
+        self, offset: int, base_offsets: Collection[int] = ()
     ) -> Sequence[PackedRecord] | None:
         """Return the newest document of each key that changed from an offset on."""
-        if not self.begun:
+        if not self.has_listing:
             return None
         newest = (versions[-1] for versions in self.versions.values())
-        return [self._pack(record, held) for record in newest if record.offset >= offset]
+        return [
+            self._pack(record, base_offsets) for record in newest if record.offset >= offset
+        ]
 
     def unpack(self, packed: Sequence[PackedRecord]) -> Result[list[Record], str]:
         """Return the documents; a difference that does not fit makes none."""
@@ -97,31 +99,35 @@
         return Success(records)
 
     def _put(self, record: DocumentRecord) -> None:
-        versions = self.versions.setdefault(record.key, deque(maxlen=KEPT_VERSIONS))
+        versions = self.versions.setdefault(record.key, deque(maxlen=MAX_VERSIONS))
         if versions and record.offset <= versions[-1].offset:
             return
         versions.append(record)
         known = {item.offset for kept in self.versions.values() for item in kept}
-        self.packed = {place: data for place, data in self.packed.items() if place[0] in known}
+        self.pack_cache = {
+            cache_key: data
+            for cache_key, data in self.pack_cache.items()
+            if cache_key[0] in known
+        }
 
     def _version(self, key: str, offset: int | None) -> Document | None:
-        if offset == NOTHING:
+        if offset == NO_BASE:
             return EMPTY
         found = (item for item in self.versions.get(key, ()) if item.offset == offset)
         record = next(found, None)
         return None if record is None else record.document
 
-    def _pack(self, record: DocumentRecord, held: Collection[int]) -> PackedRecord:
+    def _pack(self, record: DocumentRecord, base_offsets: Collection[int]) -> PackedRecord:
         versions = self.versions[record.key]
-        base = next((item for item in reversed(versions) if item.offset in held), None)
-        base_offset = NOTHING if base is None else base.offset
-        place = (record.offset, base_offset)
-        data = self.packed.get(place)
+        base = next((item for item in reversed(versions) if item.offset in base_offsets), None)
+        base_offset = NO_BASE if base is None else base.offset
+        cache_key = (record.offset, base_offset)
+        data = self.pack_cache.get(cache_key)
         if data is None:
             former = EMPTY if base is None else base.document
             change = documents.difference(former, record.document)
             data = zlib.compress(msgspec.msgpack.encode(change), COMPRESSION_LEVEL)
-            self.packed[place] = data
+            self.pack_cache[cache_key] = data
         return PackedRecord(record.offset, record.key, data, base_offset)
 
 
--- a/agaterail/gateway/relayed/records.py
+++ b/agaterail/gateway/relayed/records.py
@@ -18,7 +18,7 @@
 
 # A peer that asks for older records reads the store itself. Peers ask twice a
 # second; of a burst of registrations some hundred come in that time.
-KEPT_RECORDS = 512
+MAX_RECORDS = 512
 
 
 @attrs.define
@@ -27,14 +27,14 @@
 
     Attributes
     ----------
-    first
+    first_offset
         Offset from which on all records are kept; None before the first read.
     """
 
-    first: int | None = None
+    first_offset: int | None = None
     records: deque[FeedRecord] = attrs.field(factory=deque)
 
-    def take_in(self, reading: Reading) -> None:
+    def add_reading(self, reading: Reading) -> None:
         """Take in what a read brought; a listing begins anew.
 
         Reads of the store and answers of peers may overtake each other. An older
@@ -43,35 +43,39 @@
         """
         self.read_at = max(self.read_at, reading.read_at)
         next_offset = reading.next_offset
-        if self.first is not None and not reading.listed and next_offset <= self.next_offset:
+        if (
+            self.first_offset is not None
+            and not reading.listed
+            and next_offset <= self.next_offset
+        ):
             return
-        fresh = [
+        new_records = [
             record
             for record in reading.records
             if isinstance(record, FeedRecord) and record.offset >= self.next_offset
         ]
-        joins = len(fresh) == next_offset - self.next_offset
-        if self.first is None or reading.listed or not joins:
+        contiguous = len(new_records) == next_offset - self.next_offset
+        if self.first_offset is None or reading.listed or not contiguous:
             self.records.clear()
-            self.first = next_offset
+            self.first_offset = next_offset
         else:
-            self.records.extend(fresh)
-            while len(self.records) > KEPT_RECORDS:
-                self.first = self.records.popleft().offset + 1
+            self.records.extend(new_records)
+            while len(self.records) > MAX_RECORDS:
+                self.first_offset = self.records.popleft().offset + 1
         self.next_offset = next_offset
         self.known_at = reading.arrival.known_at
 
-    def since(self, offset: int) -> list[FeedRecord] | None:
+    def records_since(self, offset: int) -> list[FeedRecord] | None:
         """Return the records from an offset on; None if not all are kept."""
-        if self.first is None or offset < self.first:
+        if self.first_offset is None or offset < self.first_offset:
             return None
         return [record for record in self.records if record.offset >= offset]
 
     def pack_since(
-        self, offset: int, held: Collection[int] = ()
+        self, offset: int, base_offsets: Collection[int] = ()
     ) -> Sequence[PackedRecord] | None:
         """Return the records from an offset on; None if not all are kept."""
-        records = self.since(offset)
+        records = self.records_since(offset)
         if records is None:
             return None
         return [PackedRecord(item.offset, item.key, item.value) for item in records]
--- a/agaterail/gateway/startstages.py
+++ b/agaterail/gateway/startuptimer.py
@@ -16,10 +16,10 @@
 
 logger = logs.get_logger("main")
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
-class StartStages:
+class StartupTimer:
     """Logs when the start reached a stage, and how much processor time that took.
 
     A start that waits for a processor shows a high age at a low processor time; one
@@ -40,10 +40,10 @@
         self.processor_at = processor_at
         self.now = now
 
-    def reached(self, sentence: str, **fields: object) -> None:
+    def log_stage(self, message: str, **fields: object) -> None:
         """Write a line on a stage."""
         logger.info(
-            sentence,
+            message,
             **fields,
             start_s=round(self.now() - self.started_at, 3),
             processor_s=round(time.process_time() - self.processor_at, 3),
@@ -54,8 +54,8 @@
         while not daemon.ready:
             if daemon.stopping:
                 return
-            gevent.sleep(POLL_S)
-        self.reached(
+            gevent.sleep(POLL_INTERVAL_S)
+        self.log_stage(
             "Ready.",
             targets=len(daemon.book.targets),
             readers=len(daemon.feeds.readers),
--- a/agaterail/gateway/state.py
+++ b/agaterail/gateway/state.py
@@ -22,10 +22,10 @@
 
 # Two waits of a read and a slow call: as long as readings are no older, a change that
 # is read was made just now.
-REGULAR_READING_S = 2.0
+MAX_REGULAR_READING_GAP_S = 2.0
 # Vanished targets whose offset is remembered. A read is overtaken by seconds; in
 # that time far fewer targets vanish.
-KEPT_VANISHED = 1024
+MAX_TOMBSTONES = 1024
 
 
 class GatewayState:
@@ -36,7 +36,7 @@
 
     Attributes
     ----------
-    unknown_age_s
+    assumed_age_s
         Age of a version that a process finds at its start, for all that it knows.
     clock_skew_s
         Largest error of a time of day.
@@ -50,10 +50,10 @@
         self,
         freshness: Freshness,
         book: TargetBook,
-        unknown_age_s: float = 0.0,
+        assumed_age_s: float = 0.0,
         clock_skew_s: float = 0.0,
     ) -> None:
-        self.unknown_age_s = unknown_age_s
+        self.assumed_age_s = assumed_age_s
         self.clock_skew_s = clock_skew_s
         self.naming: NamingRecord | None = None
         self.naming_since = 0.0
@@ -73,7 +73,7 @@
         now: float,
         at_start: bool = False,
         arrival: Arrival | None = None,
-        read_before: float | None = None,
+        previous_read_at: float | None = None,
     ) -> None:
         """Take in changes in the order of their offsets.
 
@@ -90,19 +90,19 @@
             if isinstance(change, DesiredPublished):
                 self._apply_desired(change, now, arrival)
             elif isinstance(change, WeightsNamed):
-                known_at = self._named_since(now, at_start, read_before)
+                known_at = self._earliest_naming_time(now, at_start, previous_read_at)
                 self._apply_weights(change, now, known_at, at_start)
             elif isinstance(change, TargetChanged):
                 self._apply_target(change, now)
 
-    def note_age(self, now: float) -> None:
+    def log_staleness(self, now: float) -> None:
         """Say when the desired state in force may have become outdated, and is not."""
-        may_be = self.desired is not None and not self.freshness.allows_denial(now)
-        if may_be == self.may_be_outdated:
+        outdated = self.desired is not None and not self.freshness.allows_denial(now)
+        if outdated == self.may_be_outdated:
             return
-        self.may_be_outdated = may_be
+        self.may_be_outdated = outdated
         logger.info(
-            "Desired state may be outdated." if may_be else "Desired state confirmed.",
+            "Desired state may be outdated." if outdated else "Desired state confirmed.",
             version=None if self.desired is None else self.desired.version,
             reading_age_s=self.freshness.age_s(now),
         )
@@ -142,7 +142,7 @@
             known_s=None if arrival is None else round(now - arrival.known_at, 3),
         )
 
-    def take_ages(
+    def apply_version_ages(
         self,
         record: NamingRecord,
         now: float,
@@ -181,13 +181,15 @@
             ages_s={item.version: round(item.age_s, 1) for item in found.ages(now)},
         )
 
-    def _named_since(self, now: float, at_start: bool, read_before: float | None) -> float:
+    def _earliest_naming_time(
+        self, now: float, at_start: bool, previous_read_at: float | None
+    ) -> float:
         """Return a time that is no later than the naming of a version that was read now."""
         if at_start:
-            return now - self.unknown_age_s
-        if read_before is None or now - read_before <= REGULAR_READING_S:
+            return now - self.assumed_age_s
+        if previous_read_at is None or now - previous_read_at <= MAX_REGULAR_READING_GAP_S:
             return now
-        return max(read_before, now - self.unknown_age_s)
+        return max(previous_read_at, now - self.assumed_age_s)
 
     def _apply_weights(
         self, change: WeightsNamed, now: float, known_at: float, at_start: bool
@@ -224,7 +226,7 @@
                     kept=change.instance in self.book.targets,
                     offset=change.offset,
                 )
-            self._bound_offsets()
+            self._trim_tombstones()
             return
         changed = known is None or known.entry != change.entry
         self.book.put(change.entry)
@@ -240,7 +242,7 @@
                 offset=change.offset,
             )
 
-    def _bound_offsets(self) -> None:
+    def _trim_tombstones(self) -> None:
         vanished = [name for name in self.target_offsets if name not in self.book.targets]
-        for name in vanished[:-KEPT_VANISHED]:
+        for name in vanished[:-MAX_TOMBSTONES]:
             del self.target_offsets[name]
--- a/agaterail/gateway/weightscontroller.py
+++ b/agaterail/gateway/weightscontroller.py
@@ -133,7 +133,9 @@
             self.load_time.adopt(newest.load_s)
         if newest is not None and newest.boot != self.lease.boot and newest.naming:
             time_of_day = self.time_of_day()
-            self.daemon.state.take_ages(newest.naming, now, time_of_day, written_after)
+            self.daemon.state.apply_version_ages(
+                newest.naming, now, time_of_day, written_after
+            )
         if newest is not None or not self.looked:
             self.lease.observe(newest, end, now)
         elif self.lease.end is None or end > self.lease.end:
--- a/agaterail/platform/store.py
+++ b/agaterail/platform/store.py
@@ -263,7 +263,7 @@
             body,
             timeout_s=ANSWER_TIMEOUT_S + wait_s,
             fresh=fresh,
-            on_data=lambda: None if feed is None else self.on_heard(feed),
+            on_data=lambda: None if feed is None else self.on_data(feed),
         )
         if isinstance(answer, Success):
             status, content = answer.unwrap()
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -6,7 +6,7 @@
 import gevent
 import gevent.event
 
-from agaterail.gateway import peerfeed
+from agaterail.gateway import peerprotocol
 from agaterail.gateway.controlstore import STORE, Feed
 from tests.gateway_fleet import BOUNDS, LLM, MODEL, Answer, Fleet, make_desired, read_all
 from tests.large_state import make_rows, make_state, with_row_changed
@@ -18,7 +18,7 @@
         self.fleet = Fleet()
         self.addCleanup(self.fleet.stop)
 
-    def test_a_plain_answer_is_the_target_s_own(self):
+    def test_plain_answer_is_forwarded_unchanged(self):
         answer = self.fleet.ask("/safe/x?q=%2F", headers=["Tenant: evil"])
         run = self.fleet.runs()[0]
         self.assertEqual(answer.status, 200)
@@ -29,7 +29,7 @@
         self.assertLess(int(run.headers["deadline-ms"]), 2000)
         self.assertNotIn("authorization", run.headers)
 
-    def test_a_stream_is_whole_and_in_order(self):
+    def test_stream_is_complete_and_ordered(self):
         answer = self.fleet.ask("/once/x", stream=True)
         self.assertTrue(answer.whole_stream)
         self.assertEqual(answer.events, [b"data: r1-%d" % n for n in range(1, 9)])
@@ -51,13 +51,13 @@
         self.assertEqual(self.fleet.ask("/open/x", key="").status, 200)
         self.assertEqual(len(self.fleet.runs()), 1)
 
-    def test_a_key_that_was_taken_away_is_refused(self):
+    def test_revoked_key_is_refused(self):
         self.fleet.publish(make_desired(2, keys=["k2"]))
         self.fleet.wait(lambda: self.fleet.daemons[0].state.desired.version == 2)
         self.assertEqual(self.fleet.ask("/safe/x", key="k1").status, 401)
         self.assertEqual(self.fleet.ask("/safe/x", key="k2").status, 200)
 
-    def test_no_key_is_accepted_on_an_old_reading(self):
+    def test_no_key_is_accepted_on_stale_reading(self):
         # The store has been out of reach for longer than a key may be accepted
         # after it was taken away. The caller is told to come back; a route
         # without keys is served as before.
@@ -72,7 +72,7 @@
         self.fleet.wait(lambda: daemon.freshness.allows_keys(daemon.now()))
         self.assertEqual(self.fleet.ask("/safe/x").status, 200)
 
-    def test_a_request_that_may_have_run_is_not_sent_again(self):
+    def test_request_that_may_have_run_is_not_retried(self):
         # The target's connection breaks after it began. The caller of a request
         # that must not run twice gets 502, which promises nothing.
         for name in ("p-0", "p-1"):
@@ -82,7 +82,7 @@
         self.assertNotIn("server-stamp", answer.head)
         self.assertEqual(len(self.fleet.runs()), 1)
 
-    def test_a_refusal_of_all_targets_says_that_it_did_not_run(self):
+    def test_refusal_by_all_targets_is_reported_as_not_run(self):
         for target in self.fleet.targets.values():
             target.refuse = True
         answer = self.fleet.ask("/unsafe/x", body=b"pay")
@@ -90,23 +90,23 @@
         self.assertIn("retry-after", answer.head)
         self.assertEqual(self.fleet.runs(), [])
 
-    def test_a_target_that_refuses_is_passed_over(self):
+    def test_refusing_target_is_skipped(self):
         self.fleet.targets["p-0"].refuse = True
         statuses = {self.fleet.ask("/unsafe/x", request_id=f"r{n}").status for n in range(6)}
         self.assertEqual(statuses, {200})
 
-    def test_a_safe_request_is_tried_at_a_second_target(self):
+    def test_safe_request_is_retried_at_second_target(self):
         self.fleet.targets["p-0"].error = True
         self.assertEqual({self.fleet.ask("/safe/x").status for _ in range(4)}, {200})
 
-    def test_a_failure_of_both_targets_is_passed_on(self):
+    def test_failure_of_both_targets_is_forwarded(self):
         for name in ("p-0", "p-1"):
             self.fleet.targets[name].error = True
         answer = self.fleet.ask("/safe/x")
         self.assertEqual((answer.status, answer.body), (500, b"failed"))
         self.assertEqual(len(self.fleet.runs()), 2)
 
-    def test_a_stream_that_breaks_goes_on_at_another_engine(self):
+    def test_broken_stream_resumes_at_another_engine(self):
         # The engine dies in the middle of the fourth event. The caller sees one
         # stream without a gap, a repeat or half an event.
         self.fleet.targets["e-0"].break_after = 4
@@ -122,7 +122,7 @@
             wanted = [b"data: s%d-%d" % (number, n) for n in range(1, 9)]
             self.assertEqual(answer.events, wanted)
 
-    def test_a_broken_stream_that_cannot_be_resumed_does_not_look_complete(self):
+    def test_broken_non_resumable_stream_is_cut(self):
         for name in ("e-0", "e-1"):
             self.fleet.targets[name].break_after = 4
         answer = self.fleet.ask("/once/x", stream=True)
@@ -130,7 +130,7 @@
         self.assertFalse(answer.whole_stream)
         self.assertEqual(len(self.fleet.runs()), 1)
 
-    def test_a_doubled_answer_reaches_no_other_caller(self):
+    def test_duplicate_answer_reaches_no_other_caller(self):
         # The target answers twice. The second copy lies on the connection where
         # the next caller's answer is expected.
         for name in ("p-0", "p-1"):
@@ -140,7 +140,7 @@
             self.assertIn(f"r{number}".encode(), answer.body)
             self.assertNotIn(f"r{number - 1} ".encode(), answer.body)
 
-    def test_work_ends_when_the_caller_leaves(self):
+    def test_work_is_canceled_when_caller_disconnects(self):
         for name in ("e-0", "e-1"):
             self.fleet.targets[name].event_s = 0.1
         sock = self.fleet.connect()
@@ -150,14 +150,14 @@
         gevent.sleep(0.3)
         self.assertEqual(sum(target.in_flight for target in self.targets()), 0)
 
-    def test_a_target_at_a_used_address_gets_nothing_that_is_not_its_own(self):
+    def test_target_at_reused_address_gets_no_foreign_requests(self):
         # The target is gone and its address belongs to another one, which says
         # so; the request goes where it should.
         self.fleet.targets["p-0"].instance = "p-9"
         self.assertEqual({self.fleet.ask("/unsafe/x").status for _ in range(4)}, {200})
         self.assertEqual(self.fleet.runs("p-0"), [])
 
-    def test_kept_connections_serve_one_request_after_the_other(self):
+    def test_keep_alive_connection_serves_sequential_requests(self):
         sock = self.fleet.connect()
         for number in range(5):
             sock.sendall(self.fleet.request("/safe/x", f"r{number}"))
@@ -174,7 +174,7 @@
 
 
 class WeightsTest(unittest.TestCase):
-    def test_engines_get_the_weights_that_are_named_from_one_host(self):
+    def test_engines_load_named_weights_by_order_of_one_host(self):
         fleet = Fleet(gateways=3)
         self.addCleanup(fleet.stop)
         engines = [fleet.targets["e-0"], fleet.targets["e-1"]]
@@ -199,14 +199,14 @@
 
 
 class FeedsTest(unittest.TestCase):
-    def test_daemons_that_do_not_read_the_store_learn_of_changes_too(self):
+    def test_non_readers_receive_changes(self):
         fleet = Fleet(gateways=4)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 2)
         fleet.publish(make_desired(5))
         fleet.wait(lambda: all(d.state.desired.version == 5 for d in fleet.daemons), 2.0)
 
-    def test_a_daemon_whose_peers_die_reads_the_store_itself(self):
+    def test_daemon_reads_store_when_readers_die(self):
         # Both readers lose power right after a change was acknowledged. The
         # others must have the change in force within the bound.
         fleet = Fleet(gateways=4)
@@ -215,7 +215,7 @@
         others = [d for d in fleet.daemons if not d.membership.is_reader]
         for daemon in fleet.daemons:
             if daemon.membership.is_reader:
-                daemon.feeds.peer_answers.server.close()
+                daemon.feeds.peer_responder.server.close()
         fleet.publish(make_desired(6))
         fleet.wait(lambda: all(d.state.desired.version == 6 for d in others), 2.0)
 
@@ -231,15 +231,15 @@
     CHANGES = 5
     # The whole, packed, takes some 60 KB; a change of a row some hundred bytes, with the
     # news of targets that come with it.
-    MOST_BYTES_OF_THE_WHOLE = 120_000
-    MOST_BYTES_OF_A_CHANGE = 2560
+    MAX_WHOLE_STATE_BYTES = 120_000
+    MAX_CHANGE_BYTES = 2560
 
     def setUp(self):
         self.fleet = Fleet(gateways=5)
         self.addCleanup(self.fleet.stop)
-        self.fleet.wait(lambda: len(self.askers()) >= 3)
+        self.fleet.wait(lambda: len(self.polling_daemons()) >= 3)
 
-    def askers(self):
+    def polling_daemons(self):
         return [d for d in self.fleet.daemons if not d.feeds.reads_directly]
 
     def publish(self, version, rows):
@@ -250,17 +250,17 @@
             lambda: all(d.state.desired.version == version for d in self.fleet.daemons)
         )
 
-    def test_changes_of_a_large_state_are_in_force_and_small(self):
+    def test_changes_of_large_state_are_small_and_take_effect(self):
         rows = make_rows(2800)
         sizes = []
         for daemon in self.fleet.daemons:
-            passed_on = daemon.feeds.peer_answers
-            passed_on._answer_news = measured(passed_on._answer_news, sizes)
-            passed_on.answers[peerfeed.PATH] = passed_on._answer_news
+            responder = daemon.feeds.peer_responder
+            responder._answer_news = record_sizes(responder._answer_news, sizes)
+            responder.handlers[peerprotocol.PATH] = responder._answer_news
         gevent.sleep(0.7)  # the questions that wait meanwhile end
         self.publish(5, rows)
         self.wait_for(5)
-        self.assertLess(max(sizes), self.MOST_BYTES_OF_THE_WHOLE)
+        self.assertLess(max(sizes), self.MAX_WHOLE_STATE_BYTES)
         gevent.sleep(0.7)  # the questions that wait meanwhile end
         sizes.clear()
         for number in range(self.CHANGES):
@@ -268,13 +268,13 @@
             self.publish(6 + number, rows)
             gevent.sleep(0.1)
         self.wait_for(5 + self.CHANGES)
-        self.assertLess(max(sizes), self.CHANGES * self.MOST_BYTES_OF_A_CHANGE)
+        self.assertLess(max(sizes), self.CHANGES * self.MAX_CHANGE_BYTES)
         routes = self.fleet.daemons[0].state.desired.routes
         for daemon in self.fleet.daemons:
             self.assertEqual(daemon.state.desired.routes, routes)
 
 
-def measured(answer, sizes):
+def record_sizes(answer, sizes):
     """Return the same with the sizes of its results noted."""
 
     def wrapped(query):
@@ -286,28 +286,28 @@
 
 
 class BoundsTest(unittest.TestCase):
-    def test_without_a_bound_keys_need_no_fresh_reading(self):
+    def test_unbounded_revocation_accepts_stale_reading(self):
         fleet = Fleet(bounds=attrs.evolve(BOUNDS, revoke_s=None))
         self.addCleanup(fleet.stop)
         fleet.daemons[0].freshness.confirmed_at -= 1000.0
         self.assertEqual(fleet.ask("/safe/x").status, 200)
 
 
-def count_own_news(feeds):
+def collect_direct_reads(feeds):
     """Return a list to which each read of the store that brings something is added."""
-    found, take_in = [], feeds.take_in
+    found, take_in = [], feeds.apply_reading
 
     def wrapped(feed, reading):
         if reading.records and reading.arrival.source == STORE:
             found.append(feed)
         take_in(feed, reading)
 
-    feeds.take_in = wrapped
+    feeds.apply_reading = wrapped
     return found
 
 
 class SilentReaderTest(unittest.TestCase):
-    def test_a_reader_that_hears_nothing_of_the_store_keeps_nobody_from_news(self):
+    def test_silent_reader_does_not_delay_changes(self):
         # One reader's channel to the store goes silent, unnoticed for two
         # seconds. An engine leaves meanwhile; requests sent to it later than the
         # drain bound would be lost. The other reader has the news, also for the first.
@@ -318,12 +318,12 @@
         self.assertEqual(len(readers), 2)
         readers[0].store.follow = lambda *_: gevent.sleep(60.0)
         gevent.sleep(1.0)
-        own_news = count_own_news(readers[0].feeds)
+        direct_reads = collect_direct_reads(readers[0].feeds)
         fleet.publish(make_desired(7))
         fleet.wait(lambda: all(d.state.desired.version == 7 for d in fleet.daemons), 1.5)
-        self.assertEqual(own_news, [])
+        self.assertEqual(direct_reads, [])
 
-    def test_two_readers_that_hear_nothing_keep_nobody_from_news_for_long(self):
+    def test_two_silent_readers_delay_changes_within_bound(self):
         # Both readers are cut off from the store at the same moment, without a
         # reset. A key is taken away meanwhile; a host that is well must have
         # that in force within two seconds.
@@ -346,37 +346,37 @@
         self.addCleanup(self.fleet.stop)
         self.daemon = self.fleet.daemons[0]
 
-    def publish_while_a_read_is_held(self, versions):
+    def publish_while_read_is_blocked(self, versions):
         """Publish versions of 0.8 MB so that one read finds them all."""
         rows = make_rows(4000)
         states = [make_state(version, rows) for version in versions]
-        follow, held = self.daemon.store.follow, gevent.event.Event()
+        follow, unblock = self.daemon.store.follow, gevent.event.Event()
 
-        def hold(feed, offset, wait_s):
+        def blocked_follow(feed, offset, wait_s):
             if feed is Feed.OPERATORS:
-                held.wait()
+                unblock.wait()
             return follow(feed, offset, wait_s)
 
-        self.daemon.store.follow = hold
+        self.daemon.store.follow = blocked_follow
         gevent.sleep(0.8)  # the read that waits at the store ends
         for state in states:
             self.fleet.store.put("keyed.op", "config", state)
-        return held
+        return unblock
 
-    def test_a_read_that_ends_short_of_the_log_s_end_is_no_fresh_reading(self):
-        held = self.publish_while_a_read_is_held([11, 12, 13])
+    def test_truncated_read_does_not_confirm_freshness(self):
+        unblock = self.publish_while_read_is_blocked([11, 12, 13])
         published_at = self.daemon.now()
-        held.set()
+        unblock.set()
         self.fleet.wait(lambda: self.daemon.state.desired.version > 1)
         while self.daemon.state.desired.version < 13:
             self.assertLess(self.daemon.freshness.confirmed_at, published_at)
             gevent.sleep(0.0)
         self.fleet.wait(lambda: self.daemon.freshness.confirmed_at > published_at)
 
-    def test_versions_that_are_superseded_are_not_read_one_by_one(self):
-        held = self.publish_while_a_read_is_held(range(11, 19))
+    def test_superseded_versions_are_skipped(self):
+        unblock = self.publish_while_read_is_blocked(range(11, 19))
         reads = self.fleet.store.reads["keyed.op"]
-        held.set()
+        unblock.set()
         self.fleet.wait(lambda: self.daemon.state.desired.version == 18)
         # A link of 10 Mbit/s needs 0.7 s for each of these versions, and others follow:
         # read one by one, the newest is in force seconds late. One read finds that
@@ -384,8 +384,8 @@
         self.assertLessEqual(self.fleet.store.reads["keyed.op"] - reads, 2)
 
 
-class OldLeaseReadingTest(unittest.TestCase):
-    def test_peers_of_a_reader_that_lags_in_the_lease_only_go_on_asking_it(self):
+class StaleLeaseReadingTest(unittest.TestCase):
+    def test_reader_with_stale_lease_only_is_still_polled(self):
         # One reader cannot read the lease's log. Were its answers taken for useless,
         # all daemons would read the store themselves, and its limit of calls would
         # turn keys' readings away. Nor must it answer at once, again and again.
@@ -393,7 +393,7 @@
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: any(not d.feeds.reads_directly for d in fleet.daemons))
         reader = next(d for d in fleet.daemons if d.membership.is_reader)
-        asker = next(d for d in fleet.daemons if not d.feeds.reads_directly)
+        polling_daemon = next(d for d in fleet.daemons if not d.feeds.reads_directly)
         follow = reader.store.follow
         reader.store.follow = lambda feed, *rest: (
             gevent.sleep(60.0) if feed is Feed.LEASE else follow(feed, *rest)
@@ -401,15 +401,17 @@
         gevent.sleep(2.2)  # the read that waits at the store ends
         lease = reader.feeds.relay.feeds[Feed.LEASE]
         lease.failing, lease.read_at, lease.heard_at = True, float("-inf"), float("-inf")
-        started = asker.now()
-        answer = asker.feeds.asker.ask(str(reader.feeds.peer_answers.server.address))
+        started = polling_daemon.now()
+        answer = polling_daemon.feeds.poller.poll(
+            str(reader.feeds.peer_responder.server.address)
+        )
         self.assertNotIn(Feed.LEASE, answer.feeds)
-        self.assertEqual(asker.feeds.asker.take_in_answer("peer", answer, started), "")
-        self.assertGreater(asker.now() - started, 0.1)
+        self.assertEqual(polling_daemon.feeds.poller.apply_answer("peer", answer, started), "")
+        self.assertGreater(polling_daemon.now() - started, 0.1)
 
 
-class OwnFaultTest(unittest.TestCase):
-    def test_a_fault_of_ours_is_answered(self):
+class InternalErrorTest(unittest.TestCase):
+    def test_internal_error_is_answered(self):
         # A decision raises. The caller gets an answer that promises nothing
         # instead of a connection that ends, and the daemon goes on.
         fleet = Fleet()
@@ -420,7 +422,7 @@
         daemon.choose = choose
         self.assertEqual(fleet.ask("/safe/x").status, 200)
 
-    def test_a_refusal_for_want_of_a_reading_fits_the_caller_s_time(self):
+    def test_retry_after_of_stale_reading_fits_deadline(self):
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         fleet.store.down = True
@@ -432,7 +434,7 @@
 
 
 class OverloadTest(unittest.TestCase):
-    def test_a_refused_prompt_is_answered_at_once_and_reaches_no_engine(self):
+    def test_shed_prompt_is_refused_immediately(self):
         # The engines are seconds behind. The daemon refuses most prompts; such a
         # caller hears so at once, with a time to come back, and nothing has run.
         # Requests that bring no prompt are not refused for it.
@@ -450,7 +452,7 @@
         self.assertEqual(fleet.ask("/unsafe/b", request_id="r2").status, 200)
         self.assertIn(b"agaterail_refusal_chance 1.0", daemon.metrics.text(daemon))
 
-    def test_prompts_that_are_answered_or_left_wait_no_longer(self):
+    def test_finished_and_abandoned_prompts_leave_the_queue(self):
         # Each prompt's wait must end with it, or the daemon would take long gone
         # callers for a queue and refuse for ever.
         fleet = Fleet()
@@ -466,7 +468,7 @@
 
 
 class IsolationTest(unittest.TestCase):
-    def test_an_isolated_workspace_shares_no_cached_part(self):
+    def test_isolated_workspace_shares_no_cache(self):
         # Two workspaces send the same prompt. In one scope the engine would
         # answer one from what it read for the other.
         fleet = Fleet()
--- a/tests/test_agaterail/test_gateway/test_desired.py
+++ b/tests/test_agaterail/test_gateway/test_desired.py
@@ -38,7 +38,7 @@
 
 
 class DesiredStateTest(unittest.TestCase):
-    def test_the_longest_prefix_of_the_host_wins(self):
+    def test_longest_prefix_of_host_wins(self):
         short, long = make_route("short", b"/a/"), make_route("long", b"/a/b/")
         other = make_route("other", b"/a/b/c/", host="o.example")
         desired = make_desired(short, long, other)
@@ -51,18 +51,18 @@
         desired = make_desired(make_route(prefix=b"/a/"))
         self.assertIsNone(desired.match("h.example", b"/ab/"))
 
-    def test_each_key_of_a_workspace_names_it(self):
+    def test_each_key_maps_to_its_workspace(self):
         workspace = Workspace(name="w", api_keys=("k1", "k2"))
         desired = make_desired(workspaces=[workspace])
         self.assertIs(desired.workspace_by_key["k2"], workspace)
 
-    def test_a_split_follows_its_weights(self):
+    def test_traffic_split_follows_weights(self):
         route = make_route(shares=(("a", 90.0), ("b", 10.0)))
         picked = [pick_service(route, number / 100) for number in range(100)]
         self.assertEqual(picked.count("a"), 90)
         self.assertEqual(picked.count("b"), 10)
 
-    def test_a_share_without_weight_gets_nothing(self):
+    def test_zero_weight_share_gets_no_requests(self):
         route = make_route(shares=(("a", 0.0), ("b", 10.0)))
         self.assertEqual({pick_service(route, n / 10) for n in range(10)}, {"b"})
 
--- a/tests/test_agaterail/test_gateway/test_directfollower.py
+++ b/tests/test_agaterail/test_gateway/test_directfollower.py
@@ -19,23 +19,23 @@
         self.daemon = self.fleet.daemons[0]
         self.follower = DirectFollower(self.daemon.feeds, Feed.OPERATORS)
 
-    def sends_elsewhere(self, error):
+    def redirects_peers(self, error):
         """Have a read fail; tells whether peers are sent elsewhere."""
         self.daemon.feeds.relay.feeds[Feed.OPERATORS].failing = False
         self.daemon.store.follow = lambda *_: Failure(error)
         self.follower.step()
         return self.daemon.feeds.relay.feeds[Feed.OPERATORS].failing
 
-    def test_a_read_that_timed_out_sends_no_peers_to_the_store(self):
+    def test_timeout_does_not_redirect_peers(self):
         """A read that timed out behind a reader's own answers sent its askers to the store."""
         late = StoreError(StoreErrorKind.UNANSWERED, "timed out", timed_out=True)
-        self.assertFalse(self.sends_elsewhere(late))
+        self.assertFalse(self.redirects_peers(late))
 
-    def test_a_store_that_turns_a_reader_away_sends_its_peers_elsewhere_at_once(self):
-        self.assertTrue(self.sends_elsewhere(StoreError(StoreErrorKind.REFUSED, "status 503")))
-        self.assertTrue(self.sends_elsewhere(StoreError(StoreErrorKind.UNANSWERED, "reset")))
+    def test_refused_read_redirects_peers(self):
+        self.assertTrue(self.redirects_peers(StoreError(StoreErrorKind.REFUSED, "status 503")))
+        self.assertTrue(self.redirects_peers(StoreError(StoreErrorKind.UNANSWERED, "reset")))
 
-    def test_the_first_read_after_a_while_does_not_wait(self):
+    def test_first_read_after_pause_does_not_wait(self):
         # A daemon begins to read for others. While its first read waited for news, its
         # askers found that it had heard nothing and all read the store themselves.
         self.assertEqual(self.follower._wait_s(self.daemon.now()), 0.0)
--- a/tests/test_agaterail/test_gateway/test_documents.py
+++ b/tests/test_agaterail/test_gateway/test_documents.py
@@ -22,7 +22,7 @@
 
 
 class ParseTest(unittest.TestCase):
-    def test_lists_are_kept_as_the_texts_of_their_rows(self):
+    def test_lists_are_split_into_row_texts(self):
         found = documents.parse(
             b'{"v": 7, "rows": [ {"a": [1, 2]} , 3 ], "none": null}'
         ).unwrap()
@@ -30,45 +30,45 @@
         self.assertEqual(found.members, {"v": b"7", "none": b"null"})
         self.assertEqual(found.size, 19)
 
-    def test_rows_that_the_former_document_has_are_shared(self):
+    def test_unchanged_rows_are_shared(self):
         # Sixteen versions of a state with 23,000 rows are kept; without it each of
         # them would be as large as the whole.
         former = parse({"rows": [{"name": "x"}, {"name": "y"}]})
         found = documents.parse(b'{"rows":[{"name": "y"},{"name": "z"}]}', former).unwrap()
         self.assertIs(found.tables["rows"][0], former.tables["rows"][1])
 
-    def test_what_is_no_object_is_no_document(self):
+    def test_invalid_documents_are_rejected(self):
         for text in (b"", b"[]", b"7", b'{"rows": [1', b'{"rows": [1}', b'{"a": 1} x'):
             self.assertIsInstance(documents.parse(text).failure(), str)
 
 
 class DifferenceTest(unittest.TestCase):
     @given(STATES, STATES)
-    def test_the_difference_makes_the_second_of_the_first(self, first, second):
+    def test_difference_round_trip(self, first, second):
         former, wanted = parse(first), parse(second)
         change = documents.difference(former, wanted)
         self.assertEqual(documents.apply(former, change).unwrap(), wanted)
 
     @given(STATES, STATES, STATES)
-    def test_it_makes_nothing_of_another_one(self, first, second, third):
+    def test_difference_from_wrong_base_yields_no_other_document(self, first, second, third):
         former, wanted, other = parse(first), parse(second), parse(third)
         made = documents.apply(other, documents.difference(former, wanted))
         self.assertIn(made.value_or(wanted), [wanted])
 
-    def test_it_is_as_large_as_the_change(self):
+    def test_difference_is_proportional_to_change(self):
         former = parse({"rows": list(range(1000))})
         wanted = parse({"rows": [*range(500), "new", *range(501, 1000), 2000]})
         pieces = documents.difference(former, wanted).tables["rows"]
         self.assertEqual(pieces, (Piece(0, 500, (b'"new"',)), Piece(501, 499, (b"2000",))))
 
-    def test_rows_that_are_not_there_cannot_be_copied(self):
+    def test_out_of_range_pieces_are_rejected(self):
         former = parse({"rows": [1, 2]})
         change = documents.difference(former, former)
         for piece in (Piece(0, 3, ()), Piece(-1, 1, ()), Piece(1, -1, ()), Piece(5, 0, ())):
             bad = attrs.evolve(change, tables={"rows": (piece,)})
             self.assertIsInstance(documents.apply(former, bad).failure(), str)
 
-    def test_the_whole_is_the_difference_from_nothing(self):
+    def test_difference_from_empty_is_whole_document(self):
         wanted = parse({"version": 3, "rows": [1, 2]})
         change = documents.difference(EMPTY, wanted)
         self.assertEqual(documents.apply(EMPTY, change).unwrap(), wanted)
--- a/tests/test_agaterail/test_gateway/test_forwarder.py
+++ b/tests/test_agaterail/test_gateway/test_forwarder.py
@@ -4,7 +4,7 @@
 
 import gevent
 
-from agaterail.gateway.stopping import Stopper
+from agaterail.gateway.gracefulstop import GracefulStop
 from tests.gateway_fleet import LLM, PLAIN, Fleet
 
 WHOLE = [b"data: r1-%d" % number for number in range(1, 9)]
@@ -72,7 +72,7 @@
 
     def ask_stream(self, stops_host=False):
         if stops_host:
-            stopper = gevent.spawn_later(0.9, Stopper(self.fleet.daemons[0]).run)
+            stopper = gevent.spawn_later(0.9, GracefulStop(self.fleet.daemons[0]).run)
             self.addCleanup(stopper.kill)
         return self.fleet.ask("/resumed/x", stream=True)
 
--- a/tests/test_agaterail/test_gateway/test_membership.py
+++ b/tests/test_agaterail/test_gateway/test_membership.py
@@ -29,13 +29,13 @@
         return Success(dict(self.owners))
 
 
-class Hub:
+class FakeHub:
     """Holds the list of readers."""
 
     def __init__(self, readers=()) -> None:
         self.readers = readers
 
-    def use_readers(self, readers):
+    def set_readers(self, readers):
         self.readers = readers
 
 
@@ -60,11 +60,11 @@
         )
         return MembershipController(daemon)
 
-    def test_a_former_reader_finds_out_who_reads_now(self):
+    def test_former_reader_looks_up_current_readers(self):
         # The fleet changes and two readers lose their partitions. Both know of none
         # but each other, and pass that on to whoever asks: all find old readings and
         # read the store themselves, and its calls are turned away.
-        now, store, hub = [100.0], FakeStore(), Hub()
+        now, store, hub = [100.0], FakeStore(), FakeHub()
         membership = self.make_membership(now, store, hub)
         own = member_name("h", "10.0.0.1:7000", "b")
         store.owners = {0: own, 1: member_name("h", "10.0.0.2:7000", "b")}
@@ -83,9 +83,9 @@
         # It reads on for a while, as the others may not know yet.
         self.assertTrue(membership.is_reader)
 
-    def test_a_daemon_whose_readers_have_no_news_looks_for_others(self):
+    def test_stale_readers_are_looked_up_again(self):
         now, store = [100.0], FakeStore()
-        hub = Hub(("10.0.0.8:7000", "10.0.0.9:7000"))
+        hub = FakeHub(("10.0.0.8:7000", "10.0.0.9:7000"))
         membership = self.make_membership(now, store, hub)
         store.join = lambda *_: Success(
             Membership(generation=73, share=1 / 64, ranks=frozenset())
@@ -93,19 +93,19 @@
         store.owners = {n: member_name("h", f"10.0.0.{n}:7000", "b") for n in range(3, 8)}
         membership.step()
         self.assertIn("10.0.0.8:7000", hub.readers)
-        membership.misled = True
+        membership.readers_stale = True
         now[0] += 2.1
         membership.step()
         self.assertNotIn("10.0.0.8:7000", hub.readers)
 
-    def test_readers_are_looked_up_again_until_all_are_known(self):
+    def test_lookup_repeats_until_all_readers_are_known(self):
         # At a start 70 hosts join, and the partitions are dealt anew. The first
         # look finds one owner. Were it the last look, 70 hosts would hang on one
         # reader; when the store turned that one away, 25 others that it had turned
         # away too accepted no key for 6 s, though 45 hosts read the store.
         now = [100.0]
         store = FakeStore()
-        hub = Hub()
+        hub = FakeHub()
         membership = self.make_membership(now, store, hub)
         store.owners = {0: member_name("h", "10.0.0.1:7000", "b")}
         membership.step()
@@ -121,33 +121,33 @@
 
 
 class MemberNameTest(unittest.TestCase):
-    def test_a_member_s_name_says_where_it_is_reached(self):
+    def test_member_name_round_trip(self):
         name = member_name("edge-1", "10.0.0.1:7340", "ab12")
         self.assertEqual(address_of(name), "10.0.0.1:7340")
         self.assertEqual(link_of(member_name("edge-1", "10.0.0.1:7340", "ab12", 62.5)), 62.0)
         self.assertEqual((link_of(name), link_of("foreign"), link_of("a~b@c")), (0.0,) * 3)
         self.assertEqual(address_of("foreign"), "")
 
-    def test_readers_are_different_daemons(self):
+    def test_readers_are_distinct_daemons(self):
         # Two of the ranks lie at one member. Taken for two readers, its silence
         # would leave everybody without news.
         ranked = {0: "a@1:1", 1: "a@1:1", 2: "foreign", 3: "b@2:2", 4: "c@3:3"}
         self.assertEqual(choose_readers(ranked, 6.0), ("1:1", "2:2"))
 
-    def test_readers_have_ample_links_where_there_are_any(self):
+    def test_readers_with_fast_links_are_preferred(self):
         """News was late through readers with slow links, beside daemons with fast ones."""
         slow = {n: member_name("s", f"s{n}:1", "b", 5.0) for n in range(8)}
         fast = {n: member_name("f", f"f{n}:1", "b", 100.0) for n in range(20, 22)}
         readers = choose_readers(slow | fast, 71.0)
         self.assertEqual(readers, ("f20:1", "f21:1", "s0:1"))
 
-    def test_a_link_that_is_more_than_ample_is_not_preferred(self):
+    def test_links_above_sufficient_bandwidth_rank_equally(self):
         # Else a few hosts with the fastest links would read whatever happens to them.
         links = (200.0, 1000.0, 60.0)
         members = {n: member_name("h", f"h{n}:1", "b", link) for n, link in enumerate(links)}
         self.assertEqual(choose_readers(members, 6.0), ("h0:1", "h1:1"))
 
-    def test_readers_grow_with_the_fleet_but_stay_few(self):
+    def test_reader_count_scales_with_fleet_size(self):
         self.assertEqual(reader_count(1.0), 2)
         self.assertEqual(reader_count(6.0), 2)
         self.assertEqual(reader_count(81.0), 4)
--- a/tests/test_agaterail/test_gateway/test_namedweights.py
+++ b/tests/test_agaterail/test_gateway/test_namedweights.py
@@ -17,7 +17,7 @@
 from agaterail.gateway.freshness import Freshness
 from agaterail.gateway.namedweights import MOST_VERSIONS, NamingRecord, VersionAge, record_ages
 from agaterail.gateway.placement import choose_engine
-from agaterail.gateway.state import REGULAR_READING_S, GatewayState
+from agaterail.gateway.state import MAX_REGULAR_READING_GAP_S, GatewayState
 from agaterail.gateway.targets import TargetBook
 from tests.gateway_fleet import BOUNDS, MODEL, Fleet
 from tests.test_agaterail.test_gateway.test_placement import RULES, make_inbound
@@ -51,7 +51,7 @@
             with self.subTest(order):
                 self.state = make_state()
                 steps = [
-                    lambda: self.state.take_ages(record, 50.0, 1001.5),
+                    lambda: self.state.apply_version_ages(record, 50.0, 1001.5),
                     lambda: self.state.apply([WeightsNamed(1, "m", 2)], 50.0, at_start=True),
                 ]
                 for step in steps if order == "record first" else reversed(steps):
@@ -62,14 +62,14 @@
         """A time of day that jumped back made an old version look new."""
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0, at_start=True)
         record = NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
-        self.state.take_ages(record, 50.0, 997.0)
+        self.state.apply_version_ages(record, 50.0, 997.0)
         self.assertEqual(self.age(1, 50.0), 3.0 + SKEW_S)
 
     def test_a_version_that_the_record_lacks_was_named_after_its_writer_s_reading(self):
         """A version named right before the power went counted as overdue."""
         self.state.apply([WeightsNamed(1, "m", 3)], 50.0, at_start=True)
         record = NamingRecord(1000.0, 0.5, {"m": (VersionAge(2, 9.0),)})
-        self.state.take_ages(record, 50.0, 1001.0)
+        self.state.apply_version_ages(record, 50.0, 1001.0)
         self.assertEqual(self.age(2, 50.0), 0.5 + 1.0 + SKEW_S)
         self.assertEqual(self.age(1, 50.0), 9.0 + 1.0 + SKEW_S)
 
@@ -77,38 +77,40 @@
         """One host's restart beside others took their versions for seconds too old."""
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0, at_start=True)
         record = NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
-        self.state.take_ages(record, 52.0, 1000.0, written_after=51.5)
+        self.state.apply_version_ages(record, 52.0, 1000.0, written_after=51.5)
         self.assertEqual(self.age(1, 52.0), 3.5)
 
     def test_an_older_record_makes_no_version_older_again(self):
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0, at_start=True)
-        self.state.take_ages(
+        self.state.apply_version_ages(
             NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 1.0),)}), 50.0, 1000.0
         )
-        self.state.take_ages(
+        self.state.apply_version_ages(
             NamingRecord(990.0, 0.0, {"m": (VersionAge(2, 4.0),)}), 50.0, 1000.0
         )
         self.assertEqual(self.age(1, 50.0), 1.0 + SKEW_S)
 
     def test_a_version_whose_naming_was_seen_is_left_as_it_is(self):
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0)
-        self.state.take_ages(
+        self.state.apply_version_ages(
             NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 9.0),)}), 51.0, 1000.0
         )
         self.assertEqual(self.age(1, 51.0), 1.0)
 
     def test_what_was_named_during_a_freeze_is_as_old_as_the_reading_before(self):
         """A host that woke took a version for new that was named at its freeze."""
-        self.state.apply([WeightsNamed(1, "m", 2)], 60.0, read_before=48.0)
+        self.state.apply([WeightsNamed(1, "m", 2)], 60.0, previous_read_at=48.0)
         self.assertEqual(self.age(1, 60.0), 12.0)
-        self.state.apply([WeightsNamed(2, "m", 3)], 62.0, read_before=62.0 - REGULAR_READING_S)
+        self.state.apply(
+            [WeightsNamed(2, "m", 3)], 62.0, previous_read_at=62.0 - MAX_REGULAR_READING_GAP_S
+        )
         self.assertEqual(self.age(2, 62.0), 0.0)
 
     def test_an_overdue_engine_is_not_chosen_after_a_restart_of_all_hosts(self):
         """Twelve streams began on weights that had been replaced 15.6 s before."""
         self.state.apply([WeightsNamed(1, "m", 2)], 11.3, at_start=True)
         record = NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 9.5),)})
-        self.state.take_ages(record, 11.3, 1001.8)
+        self.state.apply_version_ages(record, 11.3, 1001.8)
         engine, named = make_target("i-1", weights={"m": 1}), self.state.weights["m"]
         found = choose_engine(make_inbound("h"), [engine], set(), RULES, named, 14.5)
         self.assertIsNone(found)
@@ -131,7 +133,7 @@
         self.read_at = None
         self.read()
         if self.record is not None:
-            self.state.take_ages(self.record, self.now(), self.time_of_day())
+            self.state.apply_version_ages(self.record, self.now(), self.time_of_day())
 
     def now(self):
         return self.time - self.clock_zero
@@ -143,7 +145,7 @@
         newest = max(self.named, default=0)
         changes = [WeightsNamed(newest, "m", newest)] if newest else []
         at_start = self.read_at is None
-        self.state.apply(changes, self.now(), at_start, read_before=self.read_at)
+        self.state.apply(changes, self.now(), at_start, previous_read_at=self.read_at)
         self.read_at = self.now()
 
     @precondition(lambda self: len(self.named) < MOST_VERSIONS)
@@ -185,7 +187,7 @@
             named_at = min(at for version, at in self.named.items() if version > held)
             late_s = min(self.time - named_at, ALLOWED_S)
             believed = weights.outdated_for_s(held, self.now())
-            assert believed >= late_s - REGULAR_READING_S - 1e-6
+            assert believed >= late_s - MAX_REGULAR_READING_GAP_S - 1e-6
 
 
 NamingMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=30)
--- a/tests/test_agaterail/test_gateway/test_peerasker.py
+++ b/tests/test_agaterail/test_gateway/test_peerpoller.py
@@ -5,7 +5,7 @@
 import gevent
 
 from agaterail.gateway.controlstore import Feed
-from agaterail.gateway.peerfeed import FeedNews, PeerAnswer
+from agaterail.gateway.peerprotocol import FeedNews, PeerAnswer
 from tests.gateway_fleet import BOUNDS, Fleet
 from tests.large_state import make_rows, make_state
 
@@ -25,34 +25,34 @@
         self.fleet = Fleet()
         self.addCleanup(self.fleet.stop)
         self.daemon = self.fleet.daemons[0]
-        self.asker = self.daemon.feeds.asker
+        self.poller = self.daemon.feeds.poller
 
-    def test_a_reader_that_hears_of_the_store_is_asked_again(self):
+    def test_old_reading_with_recent_store_contact_is_accepted(self):
         asked_at = self.daemon.now()
-        problem = self.asker.take_in_answer(PEER, answer(1.95, heard_s=0.05), asked_at)
+        problem = self.poller.apply_answer(PEER, answer(1.95, heard_s=0.05), asked_at)
         self.assertEqual(problem, "")
 
-    def test_a_reader_that_hears_nothing_is_not(self):
+    def test_reader_without_store_contact_is_rejected(self):
         asked_at = self.daemon.now()
-        problem = self.asker.take_in_answer(PEER, answer(1.3, heard_s=1.3), asked_at)
+        problem = self.poller.apply_answer(PEER, answer(1.3, heard_s=1.3), asked_at)
         self.assertIn("heard of", problem)
 
-    def test_a_reader_with_a_reading_beyond_the_bound_is_not(self):
+    def test_reading_beyond_staleness_bound_is_rejected(self):
         old_s = BOUNDS.config_s + 0.1
         asked_at = self.daemon.now()
-        problem = self.asker.take_in_answer(PEER, answer(old_s, heard_s=0.05), asked_at)
+        problem = self.poller.apply_answer(PEER, answer(old_s, heard_s=0.05), asked_at)
         self.assertIn("old", problem)
 
-    def test_a_reading_counts_from_the_peer_s_answer(self):
+    def test_reading_age_is_counted_from_peer_answer(self):
         # A question waits at the peer for news. Counted from the question, the
         # reading would seem older by that wait.
         asked_at = self.daemon.now()
-        self.asker.take_in_answer(PEER, answer(0.1, heard_s=0.0, waited_s=0.6), asked_at + 9.0)
+        self.poller.apply_answer(PEER, answer(0.1, heard_s=0.0, waited_s=0.6), asked_at + 9.0)
         self.assertAlmostEqual(self.daemon.freshness.confirmed_at, asked_at + 9.5)
 
-    def test_the_store_is_heard_of_while_a_large_record_comes(self):
+    def test_partial_data_of_large_record_counts_as_contact(self):
         heard = []
-        self.daemon.store.on_heard = heard.append
+        self.daemon.store.on_data = heard.append
         gevent.sleep(0.7)  # the read that waits at the store ends
         heard.clear()
         self.fleet.store.put("keyed.op", "config", make_state(5, make_rows(2800)))
@@ -60,8 +60,8 @@
         self.assertGreater(heard.count(Feed.OPERATORS), 2)
 
 
-class ListOfReadersTest(unittest.TestCase):
-    def test_a_reader_takes_no_list_of_readers_from_another(self):
+class ReaderListTest(unittest.TestCase):
+    def test_reader_ignores_reader_list_of_peer(self):
         # The fleet changed; one reader has looked up who reads now, another has not.
         # Were the old list taken over, it would go round between the two, and daemons
         # that read no longer would be asked by all.
@@ -71,5 +71,5 @@
         fleet.wait(lambda: daemon.membership.is_reader)
         found = daemon.feeds.readers
         stale = PeerAnswer({}, ("10.0.0.8:1", "10.0.0.9:1"))
-        daemon.feeds.asker.take_in_answer(PEER, stale, daemon.now())
+        daemon.feeds.poller.apply_answer(PEER, stale, daemon.now())
         self.assertEqual(daemon.feeds.readers, found)
--- a/tests/test_agaterail/test_gateway/test_peerfeed.py
+++ b/tests/test_agaterail/test_gateway/test_peerprotocol.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 
 from agaterail.gateway.controlstore import Feed, FeedRecord, Reading
-from agaterail.gateway.peerfeed import (
-    Question,
+from agaterail.gateway.peerprotocol import (
+    PeerQuery,
     decode_answer,
-    decode_question,
+    decode_query,
     encode_answer,
-    encode_question,
+    encode_query,
 )
 from agaterail.gateway.relay import Relay
 from agaterail.gateway.relayed import PackedRecord
@@ -22,15 +22,15 @@
     return FeedRecord(offset, f"k{offset}", b"\x00value")
 
 
-class PeerFeedTest(unittest.TestCase):
-    def test_a_question_and_its_answer_survive_the_wire(self):
+class PeerProtocolTest(unittest.TestCase):
+    def test_query_and_answer_round_trip(self):
         relay = Relay()
-        relay.feeds[Feed.TARGETS].take_in(Reading([], 4, 9.0, listed=True))
-        relay.feeds[Feed.TARGETS].take_in(Reading([record(4)], 5, 9.5, listed=False))
-        asked = Question({Feed.TARGETS: 4, Feed.LEASE: 2}, (3, 17), 0.6)
-        question = decode_question(encode_question(asked).partition("?")[2].encode())
-        self.assertEqual(question, asked)
-        body = encode_answer(relay, question, ("1.2.3.4:5",), now=10.0, waited_s=0.25)
+        relay.feeds[Feed.TARGETS].add_reading(Reading([], 4, 9.0, listed=True))
+        relay.feeds[Feed.TARGETS].add_reading(Reading([record(4)], 5, 9.5, listed=False))
+        asked = PeerQuery({Feed.TARGETS: 4, Feed.LEASE: 2}, (3, 17), 0.6)
+        query = decode_query(encode_query(asked).partition("?")[2].encode())
+        self.assertEqual(query, asked)
+        body = encode_answer(relay, query, ("1.2.3.4:5",), now=10.0, waited_s=0.25)
         answer = decode_answer(body).unwrap()
         news = answer.feeds[Feed.TARGETS]
         self.assertEqual(news.records, (PackedRecord(4, "k4", b"\x00value"),))
@@ -38,8 +38,8 @@
         self.assertNotIn(Feed.LEASE, answer.feeds)
         self.assertEqual((answer.readers, answer.waited_s), (("1.2.3.4:5",), 0.25))
 
-    def test_rubbish_is_no_answer(self):
-        whole = encode_answer(Relay(), Question({}, (), 0.0), ("1.2.3.4:5",), now=10.0)
+    def test_malformed_answers_are_rejected(self):
+        whole = encode_answer(Relay(), PeerQuery({}, (), 0.0), ("1.2.3.4:5",), now=10.0)
         wrong_type = msgspec.msgpack.encode({"feeds": 1, "readers": []})
         unknown_feed = msgspec.msgpack.encode({"feeds": {"x": {}}, "readers": []})
         cut, longer = whole[:-1], whole + b"x"
@@ -47,7 +47,7 @@
             self.assertIsInstance(decode_answer(body).failure(), str)
 
     @given(st.floats(0.0, 5.0), st.floats(0.0, 2.0), st.floats(0.0, 2.0))
-    def test_a_reading_is_never_taken_for_newer_than_it_is(self, age_s, way_s, wait_s):
+    def test_reading_age_is_never_underestimated(self, age_s, way_s, wait_s):
         # The asker counts from when it asked and the time that the peer says it kept
         # the question, less the age that the peer names at its answer; the true
         # reading is later than that in any case.
--- a/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
+++ b/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
@@ -6,9 +6,9 @@
 
 from agaterail.gateway import documents
 from agaterail.gateway.controlstore import DocumentRecord, Feed, Reading
-from agaterail.gateway.peerfeed import Question, encode_answer
+from agaterail.gateway.peerprotocol import PeerQuery, encode_answer
 from agaterail.gateway.relay import Relay
-from agaterail.gateway.relayed.documents import KEPT_VERSIONS, DocumentFeed
+from agaterail.gateway.relayed.documents import MAX_VERSIONS, DocumentFeed
 from tests.large_state import make_rows, make_state, with_row_changed
 
 
@@ -19,7 +19,7 @@
 def changed(feed, offset, rows, key="config"):
     """Take in a state that was written at an offset."""
     record = DocumentRecord(offset, key, make_document(offset, rows))
-    feed.take_in(Reading([record], offset + 1, 1.0, listed=False))
+    feed.add_reading(Reading([record], offset + 1, 1.0, listed=False))
     return record
 
 
@@ -29,68 +29,68 @@
     # Sent to each of 410 daemons at 2,100 changes a day, half of the 5 KB/s that a
     # daemon may use is 100 KB a change. A row has 250 bytes; ten times that leaves room
     # for the frame and stays far below.
-    MOST_BYTES_OF_A_ROW = 2560
+    MAX_BYTES_PER_ROW = 2560
 
-    def test_changes_of_single_rows_are_passed_on_in_some_kilobytes(self):
+    def test_row_changes_are_sent_as_small_differences(self):
         rows = make_rows(2800)
         relay = Relay()
         kept = relay.feeds[Feed.OPERATORS]
-        kept.take_in(Reading([], 4, 0.0, listed=True))
+        kept.add_reading(Reading([], 4, 0.0, listed=True))
         for offset in range(4, 8):
             state = make_document(offset, with_row_changed(rows, 100 * offset))
-            kept.take_in(
+            kept.add_reading(
                 Reading(
                     [DocumentRecord(offset, "config", state)], offset + 1, 1.0, listed=False
                 )
             )
-        asked = Question({Feed.OPERATORS: 5}, held=(4,), wait_s=0.0)
+        asked = PeerQuery({Feed.OPERATORS: 5}, base_offsets=(4,), wait_s=0.0)
         body = encode_answer(relay, asked, (), now=2.0)
         # Three versions came since; two rows of them differ from what the asker has.
-        self.assertLess(len(body), 2 * self.MOST_BYTES_OF_A_ROW)
+        self.assertLess(len(body), 2 * self.MAX_BYTES_PER_ROW)
 
 
 class DocumentFeedTest(unittest.TestCase):
     def setUp(self):
         self.rows = make_rows(20)
         self.reader = DocumentFeed()
-        self.reader.take_in(Reading([], 4, 0.0, listed=True))
-        self.asker = DocumentFeed()
-        self.asker.take_in(Reading([], 4, 0.0, listed=True))
+        self.reader.add_reading(Reading([], 4, 0.0, listed=True))
+        self.peer = DocumentFeed()
+        self.peer.add_reading(Reading([], 4, 0.0, listed=True))
 
-    def pass_on(self, offset):
+    def transfer(self, offset):
         """Return the records that the asker makes of the reader's answer."""
-        packed = self.reader.pack_since(offset, self.asker.held)
-        return self.asker.unpack(packed)
+        packed = self.reader.pack_since(offset, self.peer.base_offsets)
+        return self.peer.unpack(packed)
 
-    def test_nothing_is_passed_on_before_a_listing(self):
+    def test_nothing_is_packed_before_listing(self):
         self.assertIsNone(DocumentFeed().pack_since(0))
 
-    def test_an_asker_with_nothing_gets_the_whole(self):
+    def test_new_peer_gets_whole_document(self):
         newest = changed(self.reader, 4, self.rows)
-        self.assertEqual(self.pass_on(4).unwrap(), [newest])
+        self.assertEqual(self.transfer(4).unwrap(), [newest])
 
-    def test_an_asker_that_missed_versions_gets_the_newest(self):
+    def test_lagging_peer_gets_newest_version(self):
         changed(self.reader, 4, self.rows)
-        self.asker.take_in(Reading(self.pass_on(4).unwrap(), 5, 1.0, listed=False))
+        self.peer.add_reading(Reading(self.transfer(4).unwrap(), 5, 1.0, listed=False))
         for offset in range(5, 9):
             newest = changed(self.reader, offset, with_row_changed(self.rows, offset))
-        self.assertEqual(self.pass_on(5).unwrap(), [newest])
+        self.assertEqual(self.transfer(5).unwrap(), [newest])
 
-    def test_a_version_that_is_no_longer_kept_is_no_base(self):
+    def test_evicted_version_is_not_used_as_base(self):
         # An asker that was cut off for long comes back. The reader cannot know what
         # it has; a difference from another version would make a state that never was.
         changed(self.reader, 4, self.rows)
-        self.asker.take_in(Reading(self.pass_on(4).unwrap(), 5, 1.0, listed=False))
-        for offset in range(5, 6 + KEPT_VERSIONS):
+        self.peer.add_reading(Reading(self.transfer(4).unwrap(), 5, 1.0, listed=False))
+        for offset in range(5, 6 + MAX_VERSIONS):
             newest = changed(self.reader, offset, with_row_changed(self.rows, offset % 20))
-        self.assertEqual(self.pass_on(5).unwrap(), [newest])
+        self.assertEqual(self.transfer(5).unwrap(), [newest])
 
-    def test_a_difference_is_packed_once_for_all_with_the_same_version(self):
+    def test_packed_difference_is_cached(self):
         # Encoded for each asker, the work of a reader grew with its askers, and the
         # last of them had the news seconds later.
         changed(self.reader, 4, self.rows)
         changed(self.reader, 5, with_row_changed(self.rows, 3))
-        first, second = (self.reader.pack_since(5, held=(4,))[0] for _ in range(2))
+        first, second = (self.reader.pack_since(5, base_offsets=(4,))[0] for _ in range(2))
         self.assertIs(first.value, second.value)
 
     def test_small_documents_of_other_keys_do_not_wait_behind_a_large_one(self):
@@ -98,29 +98,29 @@
         changed(self.reader, 4, self.rows)
         weights = documents.parse(b'{"model": "m", "version": 2}').unwrap()
         record = DocumentRecord(5, "version/m", weights)
-        self.reader.take_in(Reading([record], 6, 1.0, listed=False))
-        self.assertEqual(self.pass_on(5).unwrap(), [record])
+        self.reader.add_reading(Reading([record], 6, 1.0, listed=False))
+        self.assertEqual(self.transfer(5).unwrap(), [record])
 
-    def test_any_offset_can_be_continued_after_the_history_expired(self):
+    def test_any_offset_can_continue_after_history_expired(self):
         # The store dropped its history, and the reader has a listing only. Askers
         # from before would all read the store themselves.
-        changed(self.asker, 4, self.rows)
+        changed(self.peer, 4, self.rows)
         newest = DocumentRecord(80, "config", make_document(80, self.rows[:5]))
-        self.reader.take_in(Reading([newest], 90, 2.0, listed=True))
-        self.assertEqual(self.pass_on(5).unwrap(), [newest])
+        self.reader.add_reading(Reading([newest], 90, 2.0, listed=True))
+        self.assertEqual(self.transfer(5).unwrap(), [newest])
 
-    def test_an_older_version_brings_nothing(self):
+    def test_older_version_is_ignored(self):
         newest = changed(self.reader, 6, self.rows)
         changed(self.reader, 5, self.rows[:3])
-        self.assertEqual(self.pass_on(4).unwrap(), [newest])
+        self.assertEqual(self.transfer(4).unwrap(), [newest])
 
-    def test_an_answer_that_is_cut_or_fits_no_version_makes_no_state(self):
+    def test_corrupt_or_mismatched_differences_are_rejected(self):
         changed(self.reader, 4, self.rows)
-        self.asker.take_in(Reading(self.pass_on(4).unwrap(), 5, 1.0, listed=False))
+        self.peer.add_reading(Reading(self.transfer(4).unwrap(), 5, 1.0, listed=False))
         changed(self.reader, 5, with_row_changed(self.rows, 3))
-        (packed,) = self.reader.pack_since(5, self.asker.held)
+        (packed,) = self.reader.pack_since(5, self.peer.base_offsets)
         for value in (b"", packed.value[:-3], packed.value[:20], b"x" * 40):
             broken = attrs.evolve(packed, value=value)
-            self.assertIsInstance(self.asker.unpack([broken]).failure(), str)
+            self.assertIsInstance(self.peer.unpack([broken]).failure(), str)
         other = attrs.evolve(packed, base=3)
-        self.assertIsInstance(self.asker.unpack([other]).failure(), str)
+        self.assertIsInstance(self.peer.unpack([other]).failure(), str)
--- a/tests/test_agaterail/test_gateway/test_startstages.py
+++ b/tests/test_agaterail/test_gateway/test_startuptimer.py
@@ -6,33 +6,33 @@
 
 import gevent
 
-from agaterail.gateway import startstages
-from agaterail.gateway.startstages import StartStages
+from agaterail.gateway import startuptimer
+from agaterail.gateway.startuptimer import StartupTimer
 
 
-class StartStagesTest(unittest.TestCase):
+class StartupTimerTest(unittest.TestCase):
     """A start was late, and no line said at which stage it had waited for what."""
 
     def setUp(self):
         self.clock = 12.5
-        self.stages = StartStages(10.0, 0.1, lambda: self.clock)
-        patch = mock.patch.object(startstages.logger, "info")
+        self.startup_timer = StartupTimer(10.0, 0.1, lambda: self.clock)
+        patch = mock.patch.object(startuptimer.logger, "info")
         self.info = patch.start()
         self.addCleanup(patch.stop)
 
-    def test_a_stage_says_its_age_and_the_processor_time(self):
-        with mock.patch.object(startstages.time, "process_time", lambda: 0.5):
-            self.stages.reached("Listening.", host="h")
+    def test_stage_logs_elapsed_and_cpu_time(self):
+        with mock.patch.object(startuptimer.time, "process_time", lambda: 0.5):
+            self.startup_timer.log_stage("Listening.", host="h")
         self.info.assert_called_once_with("Listening.", host="h", start_s=2.5, processor_s=0.4)
 
-    def test_readiness_is_a_stage(self):
+    def test_readiness_is_logged_as_stage(self):
         daemon = SimpleNamespace(
             ready=False,
             stopping=False,
             book=SimpleNamespace(targets={"i-1": None}),
             feeds=SimpleNamespace(readers=("a", "b")),
         )
-        waiting = gevent.spawn(self.stages.await_ready, daemon)
+        waiting = gevent.spawn(self.startup_timer.await_ready, daemon)
         gevent.sleep(0)
         self.info.assert_not_called()
         daemon.ready = True
@@ -40,9 +40,9 @@
         self.assertEqual(self.info.call_args.args, ("Ready.",))
         self.assertEqual(self.info.call_args.kwargs["targets"], 1)
 
-    def test_a_daemon_that_stops_before_is_not_waited_for(self):
+    def test_stopping_daemon_is_not_awaited(self):
         waiting = gevent.spawn(
-            self.stages.await_ready, SimpleNamespace(ready=False, stopping=True)
+            self.startup_timer.await_ready, SimpleNamespace(ready=False, stopping=True)
         )
         self.assertTrue(waiting.join(1.0) is None and waiting.ready())
         self.info.assert_not_called()
--- a/tools/measure_desired.py
+++ b/tools/measure_desired.py
@@ -17,7 +17,7 @@
 
 from agaterail.gateway import documents
 from agaterail.gateway.controlstore import DocumentRecord, Reading
-from agaterail.gateway.relayed.documents import KEPT_VERSIONS, DocumentFeed
+from agaterail.gateway.relayed.documents import MAX_VERSIONS, DocumentFeed
 from agaterail.platform.desired import DesiredDecoder
 from agaterail.util.units import MS_PER_S
 
@@ -76,18 +76,20 @@
     first, second = (make_state(version, routes, workspaces) for version in (1, 2))
     reader, asker, decoder = DocumentFeed(), DocumentFeed(), DesiredDecoder()
     for feed in (reader, asker):
-        feed.take_in(Reading([], 0, 0.0, listed=True))
+        feed.add_reading(Reading([], 0, 0.0, listed=True))
     print(f"state {len(first) / MB:.2f} MB")
     former = documents.EMPTY
     for offset, text in enumerate((first, second)):
         title = "change" if offset else "whole"
         document = _timed(f"{title}: parse", partial(_parse, text, former))
         record = DocumentRecord(offset, "config", document)
-        reader.take_in(Reading([record], offset + 1, 0.0))
-        packed = _timed(f"{title}: pack", partial(reader.pack_since, offset, asker.held))
+        reader.add_reading(Reading([record], offset + 1, 0.0))
+        packed = _timed(
+            f"{title}: pack", partial(reader.pack_since, offset, asker.base_offsets)
+        )
         print(f"{title}: packed {sum(len(item.value) for item in packed or ())} bytes")
         records = _timed(f"{title}: unpack", partial(_unpack, asker, packed or ()))
-        asker.take_in(Reading(records, offset + 1, 0.0))
+        asker.add_reading(Reading(records, offset + 1, 0.0))
         _timed(f"{title}: decode", partial(_decode, decoder, document))
         former = document
     _measure_memory(routes, workspaces)
@@ -115,11 +117,11 @@
 def _measure_memory(routes: int, workspaces: int) -> None:
     tracemalloc.start()
     feed, former = DocumentFeed(), documents.EMPTY
-    for offset in range(KEPT_VERSIONS):
+    for offset in range(MAX_VERSIONS):
         former = documents.parse(make_state(offset, routes, workspaces), former).unwrap()
         record = DocumentRecord(offset, "config", former)
-        feed.take_in(Reading([record], offset + 1, 0.0, listed=True))
-    print(f"{KEPT_VERSIONS} versions {tracemalloc.get_traced_memory()[0] / MB:.1f} MB")
+        feed.add_reading(Reading([record], offset + 1, 0.0, listed=True))
+    print(f"{MAX_VERSIONS} versions {tracemalloc.get_traced_memory()[0] / MB:.1f} MB")
 
 
 if __name__ == "__main__":
