--- a/agaterail/gateway/controlstore.py
+++ b/agaterail/gateway/controlstore.py
@@ -1,4 +1,4 @@
-"""What the gateway reads from and writes to the platform's store."""
+"""Interface to the platform's store, and the records that the gateway exchanges with it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Feed(enum.Enum):
-    """A sequence of changes that others write and every daemon follows."""
+    """A log of changes in the store that every daemon follows."""
 
     OPERATORS = "operators"
     TARGETS = "targets"
@@ -36,7 +36,7 @@
     size
         Bytes of the record.
     decode_s
-        Seconds that decoding it took, with the turns of others in between.
+        Elapsed time of decoding in seconds, including other greenlets that ran meanwhile.
     """
 
     offset: int
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class WeightsNamed:
-    """Operators named the weights version that a model should have."""
+    """Operators named the weights version that engines should serve for a model."""
 
     offset: int
     model: str
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class TargetChanged:
-    """A target's registration changed; None if it vanished or names no target."""
+    """A target's registration changed; None if it was removed or is not a valid target."""
 
     offset: int
     instance: str
@@ -65,23 +65,22 @@
 
 @attrs.frozen
 class LeaseEntry:
-    """Record of who gives orders to engines.
+    """Record of the lease that allows its holder to give orders to engines.
 
     Attributes
     ----------
     host
         Host that acquired the lease; the name survives a restart.
     boot
-        Start of the process on that host.
+        Identifies the start of the process on that host.
     released_idle_s
-        The lease is given up, and no order was sent for so long before; None
-        if the record takes or renews the lease.
+        Seconds without an order before the lease was released; None if the record
+        acquires or renews the lease.
     load_s
-        Seconds in which engines load new weights, as the holder has seen it;
-        None if it has seen no load.
+        Seconds in which engines load new weights, as the holder observed it; None if it
+        observed no load.
     naming
-        For how long weights versions have been named, as the writer knows it; None
-        if not said.
+        Ages of the named weights versions, as the writer knows them; None if omitted.
     """
 
     host: str
@@ -93,7 +92,7 @@
 
 @attrs.frozen
 class LeaseChanged:
-    """A host took, renewed or released the lease of orders."""
+    """A host acquired, renewed or released the lease."""
 
     offset: int
     entry: LeaseEntry
@@ -104,7 +103,7 @@
 
 @attrs.frozen
 class FeedRecord:
-    """One record as it lies in the store; without a value its key is dropped."""
+    """One record as it is stored; an empty value is a tombstone of its key."""
 
     offset: int
     key: str
@@ -125,13 +124,15 @@
 
 @attrs.frozen
 class FeedSlice:
-    """Records of a feed, and the offset to read on from.
+    """Records of a feed, and the offset to continue from.
 
     Attributes
     ----------
+    next_offset
+        Offset after the last record of the slice.
     end
-        Offset at which the store said that the feed ends; the slice lacks the records
-        from its next offset up to there.
+        End of the feed according to the store; records from the next offset up to it are
+        not in the slice.
     """
 
     records: Sequence[Record]
@@ -141,19 +142,19 @@
 
 @attrs.frozen
 class Arrival:
-    """How records came to this daemon.
+    """Source and timing of records that this daemon received.
 
     Attributes
     ----------
     source
-        The store, or the address of the peer that passed them on.
+        The store, or the address of the peer that relayed the records.
     took_s
-        Seconds from the sending of the question to its whole answer.
+        Seconds from sending the request to the end of the answer.
     known_at
-        Time, by the own clock, since which some daemon is known to have had the
-        newest of them.
+        Time by this process's clock since which some daemon is known to have had the
+        newest record.
     heard_at
-        Time at which some daemon is known to have heard of the store.
+        Time at which some daemon is known to have received data from the store.
     """
 
     source: str
@@ -168,17 +169,18 @@
 
 @attrs.frozen
 class Reading:
-    """What one read of a feed brought.
+    """Result of one read of a feed.
 
     Attributes
     ----------
     next_offset
-        Offset up to which the feed is known with it.
+        Offset up to which the feed is known after the read.
     read_at
-        Time since which the feed is known to its end; ``NEVER`` if the read ended short
-        of it.
+        Time up to which all changes of the feed are known; ``NEVER`` if the read ended
+        before the end of the feed.
     listed
-        The records are the newest of each key, not the changes since the read before.
+        Whether the records are the newest of each key instead of the changes since the
+        previous read.
     """
 
     records: Sequence[Record]
@@ -190,15 +192,17 @@
 
 @attrs.frozen
 class Membership:
-    """Part of the fleet's partitions that the platform dealt to this daemon.
+    """Partitions of the fleet that the platform assigned to this daemon.
 
     Attributes
     ----------
+    generation
+        Number of the assignment; it changes when partitions move.
     share
-        Partitions held of all, from 0 to 1.
+        Fraction of all partitions, from 0 to 1.
     ranks
-        Topics whose first partition is among them, by number. Few daemons hold
-        any, and each number is held by one.
+        Numbers of the topics whose first partition is assigned to this daemon. Few
+        daemons have any, and each number belongs to one daemon.
     """
 
     generation: int
@@ -209,12 +213,12 @@
 class StoreErrorKind(enum.Enum):
     """Why a call to the store gave no result."""
 
-    UNREACHABLE = "unreachable"  # not connected, nothing was done
-    REFUSED = "refused"  # the store answered that nothing was done
-    UNANSWERED = "unanswered"  # may be done, now or later
-    EXPIRED = "expired"  # the records asked for are gone
-    CONFLICT = "conflict"  # a condition did not hold
-    MALFORMED = "malformed"  # an answer that cannot be read
+    UNREACHABLE = "unreachable"  # no connection; the call had no effect
+    REFUSED = "refused"  # the store answered that the call had no effect
+    UNANSWERED = "unanswered"  # may have taken effect, or may still do so
+    EXPIRED = "expired"  # the requested records were dropped
+    CONFLICT = "conflict"  # a precondition failed
+    MALFORMED = "malformed"  # the answer cannot be decoded
 
 
 @attrs.frozen
@@ -227,17 +231,17 @@
 
 
 class ControlStore(abc.ABC):
-    """The platform's store as the controllers use it.
+    """Client of the platform's store.
 
-    Every call is bounded in time and sent once. Reads are linearizable: an
-    answer shows all that was acknowledged before the call was sent.
+    Every call has a timeout and is not retried. Reads are linearizable: an answer
+    contains all writes that were acknowledged before the call was sent.
 
     Attributes
     ----------
     calls
-        Calls made since the start.
+        Number of calls since the start.
     on_data
-        Called whenever bytes of a read of a feed come.
+        Called whenever data of a read of a feed arrives.
     """
 
     calls = 0
@@ -245,30 +249,30 @@
 
     @abc.abstractmethod
     def listing(self, feed: Feed) -> Result[FeedSlice, StoreError]:
-        """Read the newest state of everything on a feed."""
+        """Read the newest record of each key of a feed."""
 
     @abc.abstractmethod
     def follow(self, feed: Feed, offset: int, wait_s: float) -> Result[FeedSlice, StoreError]:
-        """Read the changes from an offset on, waiting for the first."""
+        """Read the changes from an offset on; wait for the first one if there is none."""
 
     @abc.abstractmethod
     def decode(self, feed: Feed, records: Sequence[Record]) -> list[Change]:
-        """Return what records say; those that cannot be read are left out."""
+        """Decode records; records that cannot be decoded are skipped."""
 
     @abc.abstractmethod
     def append_lease(self, entry: LeaseEntry, at: int) -> Result[int, StoreError]:
-        """Append a record iff the log ends at an offset; returns that offset."""
+        """Append a record if the log ends at an offset; return that offset."""
 
     @abc.abstractmethod
     def join(
         self, member: str, ttl_s: float, generation: int
     ) -> Result[Membership, StoreError]:
-        """Join the fleet or stay in it."""
+        """Join the fleet or renew the membership."""
 
     @abc.abstractmethod
     def members(self) -> Result[dict[int, str], StoreError]:
-        """Return who holds the fleet's partitions, the first of each topic first."""
+        """Return the holders of the fleet's partitions, first partitions first."""
 
     @abc.abstractmethod
     def leave(self, member: str) -> Result[None, StoreError]:
-        """Leave the fleet, so that the others need not wait for the time to live."""
+        """Leave the fleet, so that partitions move before the time to live expires."""
--- a/agaterail/gateway/daemon.py
+++ b/agaterail/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The application object that wires the parts of one gateway daemon."""
+"""Application object that wires the components of one gateway daemon."""
 
 from __future__ import annotations
 
@@ -48,20 +48,20 @@
 
 logger = logs.get_logger("gateway")
 
-# Registrations that lapsed in an outage are back within about two seconds of
-# the store's return.
+# Registrations that lapsed in an outage are renewed within about two seconds after the
+# store is reachable again.
 LAPSE_GRACE_S = 2.0
 BOOT_BYTES = 4
 HOUSEKEEPING_PERIOD_S = 0.5
 
 
 def boot_now() -> float:
-    """Return seconds of the clock that also counts while the host is suspended."""
+    """Return the monotonic time in seconds, including time in which the host is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Daemon:
-    """Parts of one daemon and the state that they share."""
+    """Components of one daemon, and the state that they share."""
 
     def __init__(
         self,
@@ -115,11 +115,11 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer should send new connections."""
+        """Return whether the load balancer should open new connections."""
         return not self.stopping and self.state.desired is not None
 
     def start(self) -> None:
-        """Start the controllers and accept callers."""
+        """Start the controllers and begin to accept callers."""
         self.feeds.start()
         self.greenlets.spawn(self._join_forever)
         self.subscriptions = [
@@ -130,7 +130,7 @@
         self.front.start()
 
     def close(self) -> None:
-        """End everything at once, as the process's end would."""
+        """Stop everything at once without draining, like the exit of the process."""
         for subscription in self.subscriptions:
             subscription.cancel()
         for server in (self.front, self.readiness, self.feeds.peer_responder.server):
@@ -142,21 +142,21 @@
             try:
                 self.membership.step()
             except Exception:
-                # Ended, the daemon would lose its place in the fleet for good.
-                logger.exception("Joining the fleet raised.")
+                # If this loop ended, the daemon would lose its membership permanently.
+                logger.exception("Joining the fleet failed unexpectedly.")
             gevent.sleep(self.membership.period_s)
 
     def housekeep(self) -> None:
-        """Drop lapsed targets and connections that will not be used again."""
+        """Remove expired targets and close stale connections."""
         for target in self.book.expire(self.now()):
-            logger.info("Target gone for good.", target=target.instance)
+            logger.info("Target expired.", target=target.instance)
         self.state.log_staleness(self.now())
         self.channels.close_stale()
         stores = [spec.address for spec in self._kv_stores()]
         self.kept.use_stores(stores, self.greenlets.spawn)
 
     def set_fleet_size(self, daemons: float) -> None:
-        """Take in how many daemons share the targets."""
+        """Set the number of daemons that share the targets."""
         self.rules = attrs.evolve(self.rules, daemons=daemons)
 
     def choose(self, job: Job, now: float) -> Choice | None:
@@ -176,13 +176,13 @@
         return admission.expected_wait_s(choice.target, engines, self.rules.daemons)
 
     def shedder_of(self, service: str) -> Shedder:
-        """Return what decides on refusing prompts for a service."""
+        """Return the load shedder of a service, which may refuse prompts."""
         if service not in self.shedders:
             self.shedders[service] = Shedder(service, self.now())
         return self.shedders[service]
 
     def cache_terms(self, job: Job, choice: Choice) -> CacheTerms:
-        """Return what the engine is told of cached parts; may ask a peer."""
+        """Return the cache instructions for the engine; may query a peer."""
         return cacheterms.cache_terms(job, choice, self._kv_stores(), self.kept.should_save)
 
     def _kv_stores(self) -> tuple[KvStoreSpec, ...]:
--- a/agaterail/gateway/desired.py
+++ b/agaterail/gateway/desired.py
@@ -8,7 +8,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """Whether and how requests of a route may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class ServiceShare:
-    """Part of a route's requests that goes to one service."""
+    """Weight of one service in a route's traffic split."""
 
     service: str
     weight: float
@@ -25,22 +25,22 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """One route.
+    """Rule that maps requests by host and path prefix to services.
 
     Attributes
     ----------
     path_prefix
-        Raw bytes that the request's path begins with; ends with a slash.
+        Raw bytes that the request's path starts with; ends with a slash.
     timeout_s
-        Seconds within which the operator wants the last byte sent.
+        Seconds until the last byte must be sent.
     objective_s
-        Seconds within which an answer is fully useful to its caller.
+        Latency objective in seconds: up to it an answer has its full value to the caller.
     gap_objective_s
-        Longest pause between events of a stream that is still on time.
+        Longest gap in seconds between events of a stream that counts as on time.
     prompted
-        Requests name the parts of their prompt.
+        Whether requests identify the parts of their prompt.
     resumable
-        A broken stream may be continued at another target.
+        Whether a broken stream may be resumed at another target.
     """
 
     name: str
@@ -59,7 +59,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.kind is RequestKind.SAFE or (
             self.kind is RequestKind.STREAM and self.resumable
         )
@@ -67,18 +67,18 @@
 
 @attrs.frozen(kw_only=True)
 class EngineTraits:
-    """What all engines of a service have in common.
+    """Properties that all engines of a service share.
 
     Attributes
     ----------
     slots
-        Requests that an engine processes at once.
+        Requests that an engine processes concurrently.
     kv_tokens
-        Tokens that an engine's KV cache holds.
+        Capacity of an engine's KV cache in tokens.
     kv_bytes_per_token
-        Bytes of KV cache for one token.
+        Bytes of KV cache per token.
     link_mbps
-        Megabits per second at which an engine moves KV cache.
+        Bandwidth for transfers of KV cache in Mbit/s.
     """
 
     slots: int
@@ -90,7 +90,7 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """One service: its targets register themselves under its name."""
+    """One service, under whose name its targets register."""
 
     name: str
     max_connections: int
@@ -99,7 +99,7 @@
 
 @attrs.frozen(kw_only=True)
 class KvStoreSpec:
-    """A store of kept KV cache beside the engines."""
+    """A store outside the engines that keeps KV cache."""
 
     name: str
     address: str
@@ -114,9 +114,9 @@
     Attributes
     ----------
     priority
-        Goes before the route's priority; None leaves the route's.
+        Overrides the route's priority; None keeps the route's.
     isolated
-        Shares no cached prompt part with any other workspace.
+        Whether the workspace shares no cached prompt parts with other workspaces.
     """
 
     name: str
@@ -127,7 +127,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """Bounds on what a caller may send and how long it may take."""
+    """Size limits and timeouts of a caller's requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -137,7 +137,7 @@
 
 @attrs.frozen(kw_only=True)
 class DesiredState:
-    """Everything that operators set, of one version."""
+    """One version of everything that operators configure."""
 
     version: int
     routes: tuple[Route, ...]
@@ -161,11 +161,11 @@
 
     @property
     def has_workspaces(self) -> bool:
-        """Tell whether requests need a key at all."""
+        """Return whether requests need an API key."""
         return bool(self.workspaces)
 
     def match(self, host: str, path: bytes) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route whose prefix is the longest match of the path."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -173,7 +173,7 @@
 
 
 def pick_service(route: Route, number: float) -> str:
-    """Return the service of a route's split for a number from 0 up to 1."""
+    """Return the service of a route's traffic split for a number in [0, 1)."""
     total = sum(share.weight for share in route.shares)
     left = number * total
     for share in route.shares:
--- a/agaterail/gateway/directfollower.py
+++ b/agaterail/gateway/directfollower.py
@@ -1,4 +1,4 @@
-"""Reads of one feed of the platform's store."""
+"""Direct reads of one feed of the platform's store."""
 
 from __future__ import annotations
 
@@ -17,23 +17,34 @@
 
 logger = logs.get_logger("feeds")
 
-# Pauses between failed reads, with jitter: an outage of seconds is noticed to
-# be over within half a second, at three calls a second and daemon at most. In a
-# larger fleet those that are no readers wait longer: their calls are most of all.
+# Exponential backoff between failed reads, with jitter. The end of an outage of seconds
+# is detected within half a second, at three calls per second and daemon at most. In a
+# large fleet daemons that are not readers back off longer, as they make most of the calls.
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 0.5
 LARGE_FLEET_MAX_BACKOFF_S = 1.0
 LARGE_FLEET_DAEMONS = 16
-# A read returns with the first record, and engines write some tens of them a second:
-# without a pause a daemon that reads for a second makes ten reads.
+# Pause between successful reads of daemons that are not readers. A read returns with the
+# first record and engines write tens of records per second: without the pause, a daemon
+# that falls back to the store for a second makes ten reads.
 LARGE_FLEET_READ_PAUSE_S = 0.25
-# Whatever peers say of a feed, it is read once if nothing was heard of it for so long;
-# a reader that began later than this daemon cannot continue from its offset.
+# A feed whose reading is older than this is read once, whatever peers answer: a reader
+# that started later than this daemon cannot continue from this daemon's offset.
 MAX_READING_AGE_S = 6.0
 
 
 class DirectFollower:
-    """Reads one feed of the store, one read after the other."""
+    """Reads one feed of the store, one read at a time.
+
+    Attributes
+    ----------
+    failures
+        Consecutive failed reads.
+    behind
+        Whether the last read ended before the end of the feed.
+    answered_at
+        Time of the last answer of the store.
+    """
 
     def __init__(self, hub: FeedHub, feed: Feed) -> None:
         self.hub = hub
@@ -43,7 +54,7 @@
         self.answered_at = NEVER
 
     def step(self) -> None:
-        """Make one read and take in what it brings, if it is on this daemon."""
+        """Make one read and apply it, or wait if this daemon need not read the feed."""
         hub = self.hub
         if not self._is_due():
             hub.wake_direct.wait(PEER_WAIT_S)
@@ -51,8 +62,8 @@
         daemon = hub.daemon
         sent_at = daemon.now()
         offset = hub.offsets.get(self.feed)
-        # Desired states follow each other faster than a link brings each of them; the
-        # newest record of each key is all that counts, and a listing has just these.
+        # Desired states may be published faster than the link can transfer them all. Only
+        # the newest record of each key matters, and that is what a listing returns.
         listed = offset is None or (self.behind and self.feed is Feed.OPERATORS)
         if offset is None or listed:
             answer = daemon.store.listing(self.feed)
@@ -63,7 +74,7 @@
             return
         hub.relay.feeds[self.feed].failing = False
         if self.failures:
-            logger.info("Store regained.", feed=self.feed.value, failures=self.failures)
+            logger.info("Store reachable again.", feed=self.feed.value, failures=self.failures)
             self.failures = 0
             hub.poller.selector.reset()
             if self.feed is Feed.TARGETS:
@@ -73,13 +84,13 @@
         self.behind = found.end > found.next_offset
         if self.behind:
             logger.info(
-                "Behind the store.",
+                "Read ended before the end of the feed.",
                 feed=self.feed.value,
                 next=found.next_offset,
                 end=found.end,
             )
-        # An answer is bounded in size. Were one that was cut taken for the end of the
-        # feed, revoked keys would be accepted and added routes denied.
+        # Answers are bounded in size. If a truncated answer counted as the end of the
+        # feed, revoked keys would be accepted and requests to new routes denied.
         read_at = NEVER if self.behind else sent_at
         arrival = Arrival(STORE, now - sent_at, known_at=now, heard_at=now)
         reading = Reading(found.records, found.next_offset, read_at, listed, arrival)
@@ -95,10 +106,10 @@
         return hub.daemon.now() - hub.read_at[self.feed] > MAX_READING_AGE_S
 
     def _wait_s(self, now: float) -> float:
-        """Return how long a read waits for news."""
+        """Return how long a read waits for new records."""
         wait_s = DIRECT_WAITS_S[self.feed]
-        # Whoever begins to read must know at once how the store stands: while its first
-        # read waited, all that ask it would call it cut off.
+        # The first read after a pause returns at once. If it waited, the daemons that
+        # poll this one would meanwhile consider it cut off from the store.
         return wait_s if now - self.answered_at < 2.0 * wait_s else 0.0
 
     def _is_throttled(self) -> bool:
@@ -110,8 +121,8 @@
 
     def _handle_error(self, error: StoreError) -> None:
         if error.kind is StoreErrorKind.EXPIRED:
-            # The history was dropped; the newest record of each key is kept.
-            logger.info("History expired.", feed=self.feed.value)
+            # The store compacted the feed: only the newest record of each key is left.
+            logger.info("Offset expired, listing the feed.", feed=self.feed.value)
             self.hub.reset(self.feed)
             return
         if not self.failures:
@@ -122,8 +133,9 @@
                 reason=error.reason,
             )
         self.failures += 1
-        # A read that timed out may have waited behind our own answers on a slow link,
-        # and others that read pass on what they have; silence shows by itself.
+        # A timeout may be caused by this daemon's own answers to peers on a slow link, so
+        # it does not send the peers away: this daemon can still relay records of other
+        # readers, and peers detect a silent store by the time of its last data.
         self.hub.relay.feeds[self.feed].failing = not error.timed_out
         pause = min(self._max_backoff_s(), INITIAL_BACKOFF_S * 2 ** (self.failures - 1))
         gevent.sleep(pause * (0.5 + self.hub.daemon.random.random()))
--- a/agaterail/gateway/documents.py
+++ b/agaterail/gateway/documents.py
@@ -1,4 +1,4 @@
-"""Published JSON objects, kept row by row, and the differences between them."""
+"""Published JSON objects, stored row by row, and the differences between them."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @attrs.frozen
 class Document:
-    """A JSON object of one version.
+    """One version of a JSON object.
 
     Attributes
     ----------
     members
-        Texts of the members that are no lists.
+        JSON texts of the members that are not lists.
     tables
-        Members that are lists, as the texts of their rows.
+        Members that are lists, as the JSON texts of their rows.
     """
 
     members: dict[str, bytes]
@@ -34,12 +34,12 @@
 
     @property
     def size(self) -> int:
-        """Return the bytes of all texts."""
+        """Return the total size of all texts in bytes."""
         tables = sum(sum(map(len, rows)) for rows in self.tables.values())
         return tables + sum(map(len, self.members.values()))
 
     def checksum(self) -> int:
-        """Return a checksum of names, texts and their order."""
+        """Return a checksum of the names, the texts and the order of rows."""
         found = 0
         for name, text in sorted(self.members.items()):
             found = zlib.crc32(text, zlib.crc32(name.encode() + b":", found))
@@ -53,12 +53,14 @@
 
 @attrs.frozen
 class Piece:
-    """Rows that are copied from the former table, and new ones that follow them.
+    """A range of rows to copy from the former table, and new rows after them.
 
     Attributes
     ----------
     start, count
-        Place of the first copied row, and how many.
+        Index of the first copied row, and number of copied rows.
+    rows
+        New rows.
     """
 
     start: int
@@ -68,16 +70,16 @@
 
 @attrs.frozen
 class Difference:
-    """What makes a document of a former one.
+    """Changes that turn a former document into a new one.
 
     Attributes
     ----------
     members
-        All members that are no lists; there are few of them.
+        All members that are not lists; they are few, so all of them are included.
     tables
         Pieces of each list.
     checksum
-        That of the result.
+        Checksum of the resulting document.
     """
 
     members: dict[str, bytes]
@@ -86,10 +88,10 @@
 
 
 def parse(text: bytes, former: Document = EMPTY) -> Result[Document, str]:
-    """Return the document of a JSON text.
+    """Parse the JSON text of a document.
 
-    Rows that the former document holds too are the same objects, so that a change of
-    one row needs memory for one row.
+    Rows that are unchanged from the former document are the same objects, so that a
+    change of one row takes the memory of one row.
     """
     try:
         found = _MEMBERS.decode(text)
@@ -108,7 +110,7 @@
 
 
 def difference(former: Document, document: Document) -> Difference:
-    """Return what makes a document of a former one."""
+    """Return the difference from a former document."""
     return Difference(
         document.members,
         {
@@ -120,7 +122,7 @@
 
 
 def apply(former: Document, change: Difference) -> Result[Document, str]:
-    """Return the document that a difference makes of a former one."""
+    """Apply a difference to a former document."""
     try:
         tables = {
             name: _apply_pieces(former.tables.get(name, ()), pieces)
@@ -130,7 +132,7 @@
         return Failure(str(error))
     document = Document(change.members, tables)
     if document.checksum() != change.checksum:
-        return Failure("another checksum")
+        return Failure("checksum mismatch")
     return Success(document)
 
 
--- a/agaterail/gateway/feedhub.py
+++ b/agaterail/gateway/feedhub.py
@@ -23,25 +23,29 @@
 
 logger = logs.get_logger("feeds")
 
-# Between two answered reads lie a wait and a call; so much more is an outage,
-# in which registrations may have lapsed.
+# Two successful reads are normally a wait and a call apart. A gap above this threshold
+# is an outage, in which registrations may have lapsed.
 OUTAGE_THRESHOLD_S = 3.5
 
 
 class FeedHub:
     """One daemon's copy of all feeds.
 
-    A few daemons, those that hold the first partition of one of the fleet's
-    first topics, read the store. The others ask one of them, which answers at
-    once when there is news. Calls to the store so stay the same from tens of
-    daemons on. Whoever cannot ask a peer reads the store itself.
+    A few daemons, the readers, read the store: those that hold the first partition of
+    one of the fleet's first topics. The others long-poll a reader, which answers as soon
+    as there are new records. The number of calls to the store therefore stays constant
+    from tens of daemons on. A daemon that cannot poll any peer reads the store itself.
 
     Attributes
     ----------
     offsets
-        Offset of each feed up to which its records are in force here.
+        Next offset of each feed; all records before it are in force.
     read_at
-        Time since which each feed is known up to its end.
+        Time up to which all changes of each feed are known.
+    new_records
+        Pulsed when records arrive, to answer waiting peers.
+    wake_direct
+        Pulsed when direct reads may be due, to end their sleep.
     readers
         Addresses of the daemons that read the store.
     """
@@ -60,17 +64,17 @@
         self.poller = PeerPoller(self, daemon, str(address))
 
     def start(self) -> None:
-        """Follow the feeds and answer peers."""
+        """Start to follow the feeds and to answer peers."""
         self.peer_responder.server.start()
         steps = [DirectFollower(self, feed).step for feed in Feed]
         for step in (*steps, self.poller.step):
             self.daemon.greenlets.spawn(
-                repeat, step, logger, "Following a feed raised.", MAX_BACKOFF_S
+                repeat, step, logger, "Following a feed failed unexpectedly.", MAX_BACKOFF_S
             )
 
     @property
     def reads_directly(self) -> bool:
-        """Tell whether this daemon reads the store itself."""
+        """Return whether this daemon reads the store itself."""
         return (
             self.daemon.membership.is_reader
             or self.daemon.now() < self.poller.selector.direct_until
@@ -79,7 +83,7 @@
         )
 
     def apply_reading(self, feed: Feed, reading: Reading) -> None:
-        """Take in what a read brought, from the store or a peer."""
+        """Apply a reading from the store or a peer."""
         if feed is Feed.OPERATORS and reading.records:
             self.peer_responder.log_stats()
         at_start = feed not in self.offsets and self.read_at[feed] == NEVER
@@ -107,7 +111,7 @@
             self.daemon.book.store_returned(self.daemon.now())
 
     def _share_with_peers(self, feed: Feed, reading: Reading) -> None:
-        """Let peers have records that this daemon has not decoded yet."""
+        """Offer records to peers before they are decoded here."""
         kept = self.relay.feeds[feed]
         kept.add_reading(reading)
         kept.record_contact(reading.arrival.heard_at)
@@ -116,7 +120,7 @@
             self.new_records.clear()
 
     def set_readers(self, readers: tuple[str, ...]) -> None:
-        """Take in who reads the store; a daemon that is new among them begins at once."""
+        """Set the list of readers; a daemon that is new on it starts to read at once."""
         own = self.poller.own_address
         starts_reading = own in readers and own not in self.readers
         self.readers = readers
@@ -125,11 +129,11 @@
             self.wake_direct.clear()
 
     def reset(self, feed: Feed) -> None:
-        """Begin a feed anew with a listing."""
+        """Drop the offset of a feed, so that the next read is a listing."""
         self.offsets.pop(feed, None)
 
     def _observe_delay(self, changes: Sequence[Change], arrival: Arrival) -> None:
-        """Count how long after the first daemon this one has a desired state in force."""
+        """Observe how much later than on the first daemon a desired state is in force."""
         if any(isinstance(change, DesiredPublished) for change in changes):
             delay_s = max(0.0, self.daemon.now() - arrival.known_at)
             self.daemon.metrics.in_force.observe(delay_s)
--- a/agaterail/gateway/feedtimes.py
+++ b/agaterail/gateway/feedtimes.py
@@ -1,27 +1,28 @@
-"""How long reads of the store and questions to peers wait."""
+"""Wait times of reads of the store and of polls of peers."""
 
 from __future__ import annotations
 
 from agaterail.gateway.controlstore import Feed
 
-# Waits of a daemon that reads the store itself. While a read waits, the one before
-# it counts, so that a reading is up to two waits old at a reader and up to three at
-# those that ask it, well below the age up to which keys are accepted; longer while a
-# large record is on its way.
+# How long a read of the store waits for new records. Until a waiting read returns, the
+# previous reading is the newest one. A reading is therefore up to two waits old at a
+# reader and up to three at the daemons that poll it, well below the age up to which keys
+# are accepted; it gets older while a large record is being transferred.
 DIRECT_WAITS_S = {Feed.OPERATORS: 0.6, Feed.TARGETS: 0.6, Feed.LEASE: 2.0}
-# Feeds whose age makes a peer's answer useless. Who holds the lease is no news that
-# callers wait for.
+# Feeds that must be current in a peer's answer. The lease is not among them, as no
+# request of a caller depends on it.
 REQUIRED_FEEDS = frozenset({Feed.OPERATORS, Feed.TARGETS})
-# How long a question waits at a peer for news.
+# How long a poll waits at a peer for new records.
 PEER_WAIT_S = 0.6
-# A reader on a sound connection hears of the store after a wait and a slow call at
-# most; one that has not is as good as cut off. The age of its reading says nothing of
-# that: it grows while a large record is on its way. All readers can be cut off at the
-# same moment without a word: after that silence and one more question the store is
-# read directly, before a new desired state must be in force.
+# Allowance for a slow call. A reader with a working connection receives data from the
+# store after at most a wait and a slow call; a reader that has not counts as cut off.
+# The age of its reading cannot show that, as it also grows while a large record is
+# being transferred. All readers may lose the store silently at the same time: after this
+# silence and one more poll the store is read directly, which is early enough for the
+# bound on when a new desired state is in force.
 SLOW_CALL_S = 0.6
 
 
 def max_silence_s(feed: Feed) -> float:
-    """Return for how long a reader on a sound connection may hear nothing."""
+    """Return how long a working connection of a reader to the store may be silent."""
     return DIRECT_WAITS_S[feed] + SLOW_CALL_S
--- a/agaterail/gateway/gracefulstop.py
+++ b/agaterail/gateway/gracefulstop.py
@@ -1,4 +1,4 @@
-"""The steps from SIGTERM to the end of the process."""
+"""Graceful shutdown of a gateway daemon after SIGTERM."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 logger = logs.get_logger("stop")
 
-# The balancer asks each second and takes a daemon out after two misses; its
-# connections of the last second are still on their way then.
+# The load balancer probes readiness every second and removes a daemon after two failed
+# probes; connections that it opened in the last second may still be on their way then.
 BALANCER_LAG_S = 3.0
-# The process must be gone before the platform kills it.
+# The process must exit this long before the platform kills it.
 KILL_MARGIN_S = 0.4
 POLL_INTERVAL_S = 0.05
 
 
 class GracefulStop:
-    """Ends a daemon without cutting a request.
+    """Stops a daemon without interrupting requests.
 
-    Readiness fails at once while the listener stays open: connections that the
-    balancer still sends are served. Kept connections end with an answer that
-    says so, or when they are idle after the balancer has turned away.
+    Readiness fails at once, but the listener stays open to serve connections that the
+    load balancer still opens. Keep-alive connections are closed after an answer that
+    announces it, or when they are idle after the load balancer has removed the daemon.
     """
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
     def run(self) -> None:
-        """Drain, at most for the time that the platform grants."""
+        """Drain connections, at most for the grace period of the platform."""
         daemon = self.daemon
         began = daemon.now()
         daemon.stopping = True
--- a/agaterail/gateway/hostsettings.py
+++ b/agaterail/gateway/hostsettings.py
@@ -1,4 +1,4 @@
-"""Settings of one host as its platform gives them."""
+"""Settings of one host, as its platform provides them."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 @attrs.frozen(kw_only=True)
 class Bounds:
-    """Times and counts that the users' deployment sets.
+    """Time bounds and limits that the deployment sets.
 
     Attributes
     ----------
     config_s
-        Seconds within which a new desired state is in force.
+        Seconds within which a new desired state must be in force.
     revoke_s
-        Seconds after which a key that was taken away is not accepted; None if
-        keys need no fresh reading.
+        Seconds after which a revoked key must not be accepted; None if keys may be
+        accepted on a reading of any age.
     drain_s
-        Seconds after which a leaving target gets nothing new.
+        Seconds after which a draining target gets no new requests.
     grace_s
         Seconds from SIGTERM to SIGKILL.
     lease_s
-        Seconds that must lie between the orders of two hosts.
+        Shortest time in seconds between orders of different hosts.
     version_s
-        Seconds after which older weights must not begin a request.
+        Seconds after which requests must not start on outdated weights.
+    fenced
+        Whether engines refuse orders with an old fencing number.
     clock_skew_s
         Largest error of a host's time of day in seconds.
-    fenced
-        Engines refuse orders with an old fencing number.
     """
 
     config_s: float
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class StoreSettings:
-    """The platform's store and its figures."""
+    """Address and parameters of the platform's store."""
 
     address: Address
     parts: int
@@ -58,7 +58,7 @@
 
 @attrs.frozen(kw_only=True)
 class HostSettings:
-    """Where a daemon listens, where it runs and what it must keep to."""
+    """Addresses, location and limits of one daemon."""
 
     host: str
     ip: str
--- a/agaterail/gateway/membership.py
+++ b/agaterail/gateway/membership.py
@@ -1,4 +1,4 @@
-"""Place of one daemon in the fleet, as the platform deals its partitions."""
+"""Membership of one daemon in the fleet, by the partitions that the platform assigns."""
 
 from __future__ import annotations
 
@@ -17,47 +17,49 @@
 
 logger = logs.get_logger("fleet")
 
-# A member that is silent for three joins loses its partitions. Short in a small
-# fleet, so that a dead holder of the lease is replaced soon; in a larger one the
-# joins of all together are kept at some 20 a second and less.
+# A member that misses three joins loses its partitions. The period is short in a small
+# fleet, so that a dead holder of the lease is replaced soon. In a larger fleet it grows,
+# to keep the joins of all members together at about 20 per second or less.
 JOIN_PERIOD_S = 0.8
 MAX_JOIN_PERIOD_S = 2.0
 MEMBERS_PER_PERIOD = 8
 JOINS_IN_TTL = 3.1
-# Daemons that read the store for the others: two, so that one may die, and one
-# for each 24 more, as each question takes a reader 0.3 ms a second.
+# Number of daemons that read the store for the others: at least two, so that one may
+# die, and one for each 24 daemons, as each polling daemon costs a reader 0.3 ms of CPU
+# time per second.
 MIN_READERS = 2
 POLLERS_PER_READER = 24
 MAX_READERS = 8
-# Who the readers are is looked up at most so often.
+# Shortest time between two lookups of the readers.
 READER_LOOKUP_PERIOD_S = 2.0
-# A daemon goes on reading for so long after it was a reader: the others ask it until
-# they have learned who reads now. Without it each change of the fleet had all daemons
-# find an old reading and read the store for a second.
+# A former reader goes on reading for this long, since the other daemons poll it until
+# they know the new readers. Without it, after each change of the fleet all daemons got
+# stale readings and read the store directly for a second.
 READER_GRACE_S = 5.0
 UNKNOWN_GENERATION = -1
-# Shares bound estimates only where they are sensible.
+# Lower bound of the share from which the fleet size is estimated: smaller shares give no
+# plausible estimate. Caps the estimate at 500 daemons.
 MIN_SHARE = 0.002
 FIRST_RANK = 0
 ADDRESS_SEPARATOR = "@"
 LINK_SEPARATOR = "~"
-# A link that brings a large desired state in well under a second and passes it on to
-# all askers in as much; more of it is no reason to prefer a daemon as a reader.
+# A link of this bandwidth receives a large desired state in well under a second and
+# sends it to all polling daemons in the same time. Faster links are not preferred further.
 SUFFICIENT_LINK_MBPS = 50.0
 
 
 def member_name(host: str, address: str, boot: str, link_mbps: float = 0.0) -> str:
-    """Return a member's name, which says where its peers reach it, and how fast."""
+    """Return a member's name, which contains its address and its link bandwidth."""
     return f"{host}.{boot}{LINK_SEPARATOR}{link_mbps:.0f}{ADDRESS_SEPARATOR}{address}"
 
 
 def address_of(member: str) -> str:
-    """Return the address in a member's name; empty if there is none."""
+    """Return the address in a member's name, or an empty text if there is none."""
     return member.rpartition(ADDRESS_SEPARATOR)[2] if ADDRESS_SEPARATOR in member else ""
 
 
 def link_of(member: str) -> float:
-    """Return the link in a member's name in Mbit/s; 0 if there is none."""
+    """Return the link bandwidth in a member's name in Mbit/s, or 0 if there is none."""
     link = member.rpartition(ADDRESS_SEPARATOR)[0].rpartition(LINK_SEPARATOR)[2]
     return float(link) if link.isdecimal() else 0.0
 
@@ -68,17 +70,18 @@
 
 
 def choose_readers(members: Mapping[int, str], daemons: float) -> tuple[str, ...]:
-    """Return the addresses of the daemons that read the store, no two the same.
+    """Return the distinct addresses of the daemons that read the store.
 
-    One member often holds several partitions; counted twice, it would be the only
-    reader, and its death or deafness would be that of all. Those with ample links go
-    first: a large desired state took a second to reach a reader with a slow one, and
-    another to reach its askers, while there were daemons with fast ones.
+    One member often holds several partitions. Counted twice, it would be the only
+    reader, and its failure would cut off all daemons. Members with fast links go first:
+    through readers with slow links a large desired state took a second to reach the
+    reader and another second to reach the daemons that poll it, although there were
+    daemons with fast links.
 
     Parameters
     ----------
     members
-        Names by the number of a partition that each holds.
+        Names of the members by the number of a partition that each holds.
     """
     names = [name for _, name in sorted(members.items()) if address_of(name)]
     names.sort(key=lambda name: -min(link_of(name), SUFFICIENT_LINK_MBPS))
@@ -87,11 +90,25 @@
 
 
 class MembershipController:
-    """Joins the fleet now and then and notes the share that this daemon holds.
+    """Joins the fleet periodically and tracks this daemon's share of the partitions.
 
-    The platform deals a partition to another member only after this one has
-    been silent for the time to live, counted from the arrival of its last
-    join. Counted here from before the sending, the share ends earlier.
+    The platform assigns a partition to another member only after this one has been
+    silent for the time to live, counted from the arrival of its last join. This daemon
+    counts from before the join is sent, so it gives up its share earlier.
+
+    Attributes
+    ----------
+    valid_until
+        Time until which the share is valid.
+    reader_until
+        End of the grace period in which a former reader goes on reading.
+    readers_stale
+        Whether polls of the known readers failed, so that they must be looked up again.
+    ranks
+        Topics whose first partition this daemon holds.
+    last_lookup
+        Generation and time of the last lookup of the readers; the generation is unknown
+        if the lookup did not find all of them.
     """
 
     def __init__(self, daemon: Daemon) -> None:
@@ -99,7 +116,6 @@
         self.generation = 0
         self.valid_until = 0.0
         self.reader_until = 0.0
-        # The known readers have no news: others read now, it seems.
         self.readers_stale = False
         self.ranks: frozenset[int] = frozenset()
         self.period_s = JOIN_PERIOD_S
@@ -111,12 +127,12 @@
 
     @property
     def leads(self) -> bool:
-        """Tell whether it is first on this daemon to give orders."""
+        """Return whether this daemon is first in line for the lease."""
         return FIRST_RANK in self.ranks
 
     @property
     def is_reader(self) -> bool:
-        """Tell whether this daemon reads the store for others."""
+        """Return whether this daemon reads the store for others."""
         return self._is_listed or self.daemon.now() < self.reader_until
 
     @property
@@ -125,7 +141,7 @@
         return self.leads or (is_member and self.address in self.daemon.feeds.readers)
 
     def step(self) -> None:
-        """Join once, and schedule the next time."""
+        """Renew the membership once, and refresh the list of readers if it is due."""
         if self.daemon.stopping:
             return
         if self._is_listed:
@@ -136,23 +152,23 @@
         if isinstance(answer, Success):
             self._apply_membership(answer.unwrap(), sent_at + ttl_s)
         elif self.daemon.now() >= self.valid_until and self.daemon.budget.share:
-            logger.warning("Share of the fleet lost.", reason=answer.failure().kind.value)
+            logger.warning("Fleet membership expired.", reason=answer.failure().kind.value)
             self.daemon.budget.share = 0.0
             self.ranks = frozenset()
         self._refresh_readers(self.daemon.now())
 
     def leave(self) -> None:
-        """Leave the fleet."""
+        """Give up the share and leave the fleet."""
         self.daemon.budget.share = 0.0
         self.ranks = frozenset()
         left = self.daemon.store.leave(self.member)
         if not isinstance(left, Success):
-            logger.info("The fleet was not told.", reason=left.failure().kind.value)
+            logger.info("Leaving the fleet failed.", reason=left.failure().kind.value)
 
     def _apply_membership(self, found: Membership, valid_until: float) -> None:
         if found.generation != self.generation:
             logger.info(
-                "Share of the fleet.",
+                "Fleet membership changed.",
                 generation=found.generation,
                 share=round(found.share, 4),
                 ranks=sorted(found.ranks),
@@ -170,11 +186,12 @@
             )
 
     def _refresh_readers(self, now: float) -> None:
-        """Find out who reads the store, where it is on this daemon to know."""
+        """Look up the readers, if this daemon is a reader or its list is empty or stale."""
         hub = self.daemon.feeds
         generation, at = self.last_lookup
-        # Two former readers that knew of none but each other were asked by the whole
-        # fleet, which found old readings and read the store.
+        # Former readers look them up too. Otherwise two of them that knew only of each
+        # other were polled by the whole fleet, which got stale readings and read the
+        # store directly.
         was_reader = now < self.reader_until
         needs_lookup = bool(self.ranks) or was_reader or self.readers_stale or not hub.readers
         if not needs_lookup or now - at < READER_LOOKUP_PERIOD_S:
@@ -187,7 +204,8 @@
         daemons = self.daemon.rules.daemons
         hub.set_readers(choose_readers(found.unwrap(), daemons))
         self.readers_stale = False
-        # While partitions are dealt anew, few of them have an owner. Was one reader
-        # all that was found and not looked up again, its loss cut all from news.
+        # During a rebalance few partitions have an owner. An incomplete list is looked up
+        # again: with a single reader on it, the loss of that reader would cut off all
+        # daemons.
         complete = len(hub.readers) >= reader_count(daemons)
         self.last_lookup = (self.generation if complete else UNKNOWN_GENERATION, now)
--- a/agaterail/gateway/peerpoller.py
+++ b/agaterail/gateway/peerpoller.py
@@ -1,4 +1,4 @@
-"""Questions to the daemons that read the store."""
+"""Long polls of the daemons that read the store."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 
 logger = logs.get_logger("feeds")
 
-# How long a question waits for an answer beyond the wait for news.
+# Added to the wait of a long poll for the round trip and the peer's work.
 PEER_TIMEOUT_MARGIN_S = 0.35
 OK = 200
 
 
 class PeerPoller:
-    """Asks one reader after the other for news.
+    """Polls the readers for new records, one after the other.
 
-    Readers are asked in turn: one whose channel to the store has gone silent
-    answers without news for a second before it is noticed, and the next one has
-    them.
+    The polls rotate over the readers. One whose connection to the store has gone silent
+    answers without new records for a second before it is detected; meanwhile the next
+    reader has them.
 
     Attributes
     ----------
     differences_applied
-        The last differences made documents; else whole documents are asked for.
+        Whether the last differences could be applied; otherwise whole documents are
+        requested.
     """
 
     def __init__(self, hub: FeedHub, daemon: Daemon, own_address: str) -> None:
@@ -49,12 +50,12 @@
         self.differences_applied = True
 
     def step(self) -> None:
-        """Ask one reader for news, if it is on this daemon to ask."""
+        """Poll one reader, or sleep if this daemon reads the store itself."""
         hub = self.hub
         available = self.available_peers()
-        # Readers ask each other too: a version takes a second to reach a reader with a
-        # slow link or a slow processor, and its askers waited for that while another
-        # reader had it.
+        # Readers poll each other too. A version takes a second to reach a reader with a
+        # slow link or CPU; the daemons that polled this reader waited for it although
+        # another reader already had the version.
         is_reader = self.daemon.membership.is_reader and len(hub.offsets) == len(Feed)
         if not available or (hub.reads_directly and not is_reader):
             gevent.sleep(PEER_WAIT_S)
@@ -68,7 +69,7 @@
         if not problem:
             self.selector.record_success(address)
             return
-        logger.info("Peer gave no news.", peer=address, reason=problem)
+        logger.info("Peer poll failed.", peer=address, reason=problem)
         now, left = self.daemon.now(), len(self.available_peers())
         if self.selector.record_failure(address, left - 1, now) and not is_reader:
             self.daemon.membership.readers_stale = True
@@ -76,8 +77,8 @@
             hub.wake_direct.clear()
 
     def poll(self, address: str) -> PeerAnswer | str:
-        """Return a peer's answer, or why there is none."""
-        # After an answer without news, what the next peer knows is wanted at once.
+        """Return a peer's answer, or the reason why the poll failed."""
+        # After a failed poll, the next peer must answer immediately with what it has.
         wait_s = 0.0 if self.selector.consecutive_failures else PEER_WAIT_S
         base_offsets = self.hub.relay.base_offsets() if self.differences_applied else ()
         query = peerprotocol.encode_query(PeerQuery(self.hub.offsets, base_offsets, wait_s))
@@ -94,10 +95,11 @@
         return decoded.unwrap() if isinstance(decoded, Success) else str(decoded.failure())
 
     def apply_answer(self, address: str, answer: PeerAnswer, asked_at: float) -> str:
-        """Take in a peer's answer; returns why it is of no use, if so."""
+        """Apply a peer's answer; return why the peer counts as failed, or an empty text."""
         took_s = self.daemon.now() - asked_at
-        # Readers look up who reads. Two that took each other's lists would keep an old
-        # one alive, and send all that ask them to daemons that read no longer.
+        # Readers look up the list of readers themselves. If two of them copied it from
+        # each other, they would keep an outdated list alive and send every daemon that
+        # polls them to former readers.
         if answer.readers and not self.daemon.membership.is_reader:
             self.hub.set_readers(answer.readers)
         problem = ""
@@ -108,8 +110,8 @@
                 if matters:
                     problem = f"no {feed.value} from offset {self.hub.offsets[feed]}"
                 continue
-            # The peer answered no sooner than it says that it waited, and its reading
-            # was no older then than it says. No clocks are compared.
+            # Lower bound of the time of the answer: the peer kept the query for at least
+            # the wait that it reports. Clocks of different hosts are not compared.
             answered_at = asked_at + answer.waited_s
             arrival = Arrival(
                 source=address,
@@ -119,9 +121,9 @@
             )
             problem = self._apply_news(feed, news, answered_at, arrival) or problem
             if matters and news.heard_s > max_silence_s(feed):
-                problem = f"it heard of {feed.value} {news.heard_s:.2f} s ago"
+                problem = f"peer last heard of {feed.value} {news.heard_s:.2f} s ago"
             elif matters and news.age_s > self.daemon.freshness.denial_bound_s:
-                problem = f"its reading of {feed.value} is {news.age_s:.2f} s old"
+                problem = f"peer's reading of {feed.value} is {news.age_s:.2f} s old"
         return problem
 
     def _apply_news(
@@ -129,7 +131,8 @@
     ) -> str:
         unpacked = self.hub.relay.feeds[feed].unpack(news.records)
         if feed is Feed.OPERATORS:
-            # One that does not fit changes nothing; the whole is asked for next.
+            # A difference that does not apply changes nothing; the next poll requests
+            # the whole document.
             self.differences_applied = isinstance(unpacked, Success)
         if not isinstance(unpacked, Success):
             return f"{feed.value}: {unpacked.failure()}"
@@ -139,5 +142,5 @@
         return ""
 
     def available_peers(self) -> list[str]:
-        """Return the readers that may be asked."""
+        """Return the readers that may be polled now."""
         return self.selector.available(self.hub.readers, self.own_address, self.daemon.now())
--- a/agaterail/gateway/peerprotocol.py
+++ b/agaterail/gateway/peerprotocol.py
@@ -1,4 +1,4 @@
-"""Answers and questions by which daemons pass on their readings of the store."""
+"""Queries and answers by which daemons share their readings of the store."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 if TYPE_CHECKING:
     from agaterail.gateway.relay import Relay
 
-# The path changes with the form of the answers: daemons of another release answer
-# that there is none, and are taken for peers without news.
+# The version in the path changes with the format of the answers. Daemons of another
+# release then answer 404, which counts as a failed poll.
 PATH = b"/feeds/2"
-# A record that has been known for longer was there before anybody's start.
+# Cap for records whose first sighting is unknown, such as those found at a start.
 MAX_KNOWN_S = 3600.0
 
 
 @attrs.frozen
 class PeerQuery:
-    """What an asker has, and how long it waits for more.
+    """What the polling daemon has, and how long it waits for more.
 
     Attributes
     ----------
     offsets
-        Offset of each feed from which on it knows nothing.
-    held
-        Offsets of records that differences may start from.
+        Next offset that it needs of each feed.
+    base_offsets
+        Offsets of records that it has and that differences may start from.
+    wait_s
+        Longest time to wait for new records.
     """
 
     offsets: dict[Feed, int]
@@ -40,14 +42,14 @@
 
 @attrs.frozen
 class FeedNews:
-    """What a peer knows of one feed.
+    """Records of one feed in a peer's answer, and how current they are.
 
     Attributes
     ----------
     age_s
         Age of the peer's own reading when it answered.
     known_s
-        Seconds since which some daemon has had the newest record.
+        Seconds for which some daemon is known to have had the newest record.
     heard_s
         Seconds since the store sent any bytes of this feed.
     """
@@ -61,16 +63,17 @@
 
 @attrs.frozen
 class PeerAnswer:
-    """A peer's answer.
+    """Answer to a query, as it is sent in MessagePack.
 
     Attributes
     ----------
     feeds
-        News by feed; a feed is missing if the peer cannot continue the offset.
+        New records by feed; a feed is missing if the peer cannot continue from the
+        offset or cannot read the feed.
     readers
         Addresses of the daemons that read the store, as the peer knows them.
     waited_s
-        Seconds for which the peer kept the question waiting for news.
+        Seconds for which the peer delayed the answer to wait for new records.
     """
 
     feeds: dict[Feed, FeedNews]
@@ -82,19 +85,19 @@
 
 
 def encode_query(query: PeerQuery) -> str:
-    """Return the path and query of a question."""
+    """Return the path and query string of a query."""
     pairs = [f"{feed.value}={offset}" for feed, offset in query.offsets.items()]
     pairs.append("held=" + ",".join(map(str, query.base_offsets)))
     return f"{PATH.decode()}?wait={query.wait_s:.3f}&" + "&".join(pairs)
 
 
 def decode_query(query: bytes) -> PeerQuery:
-    """Return the question in a query.
+    """Return the query in a query string.
 
     Raises
     ------
     ValueError
-        If it is none.
+        If it is malformed.
     """
     found = dict(pair.split("=", 1) for pair in query.decode("ascii").split("&"))
     offsets = {feed: int(found[feed.value]) for feed in Feed if feed.value in found}
@@ -109,7 +112,7 @@
     now: float,
     waited_s: float = 0.0,
 ) -> bytes:
-    """Return the body of an answer."""
+    """Return the body of the answer to a query."""
     feeds: dict[Feed, FeedNews] = {}
     for feed, offset in query.offsets.items():
         kept = relay.feeds[feed]
@@ -128,7 +131,7 @@
 
 
 def decode_answer(body: bytes) -> Result[PeerAnswer, str]:
-    """Return what a peer answered."""
+    """Return the answer in a body, or why it is malformed."""
     try:
         return Success(_DECODER.decode(body))
     except msgspec.MsgspecError as error:
--- a/agaterail/gateway/peerresponder.py
+++ b/agaterail/gateway/peerresponder.py
@@ -1,4 +1,4 @@
-"""Answers to the questions of peers."""
+"""Server for the queries of peers."""
 
 from __future__ import annotations
 
@@ -24,18 +24,20 @@
 logger = logs.get_logger("feeds")
 
 OK, BAD_REQUEST, NOT_FOUND = 200, 400, 404
-# Answers that fill more than a few packets.
+# Answers from this size on take more than a few packets and queue behind others.
 LARGE_ANSWER_BYTES = 4096
 
 
 @attrs.define
 class AnswerStats:
-    """What answering peers cost.
+    """Number, size and encoding time of the answers to peers.
 
     Attributes
     ----------
     size, largest
         Bytes of all answers and of the largest.
+    encode_s
+        Seconds spent on encoding.
     """
 
     answers: int = 0
@@ -44,7 +46,7 @@
     encode_s: float = 0.0
 
     def add(self, size: int, encode_s: float) -> None:
-        """Count an answer."""
+        """Add one answer to the totals."""
         self.answers += 1
         self.size += size
         self.largest = max(self.largest, size)
@@ -52,12 +54,12 @@
 
 
 class PeerResponder:
-    """Listens for peers and tells them what this daemon knows.
+    """Listens for peers and answers their queries.
 
     Attributes
     ----------
     handlers
-        What makes the body of an answer of a query, by path.
+        Functions by path that return the body of the answer to a query string.
     """
 
     def __init__(self, hub: FeedHub, address: Address, now: Callable[[], float]) -> None:
@@ -70,7 +72,7 @@
         self.server = Front(address, self.handle, CallerLimits, now)
 
     def handle(self, inbound: Inbound, caller: CallerConnection) -> None:
-        """Answer a question."""
+        """Answer one request of a peer."""
         path, _, query = inbound.target.partition(b"?")
         handler = self.handlers.get(path)
         if handler is None:
@@ -99,11 +101,11 @@
         return body
 
     def log_stats(self) -> None:
-        """Say what passing on cost while the former desired state was the newest."""
+        """Log and reset the totals, once per new desired state."""
         stats, self.stats = self.stats, AnswerStats()
         if stats.answers:
             logger.info(
-                "News passed on.",
+                "Answers to peers.",
                 answers=stats.answers,
                 size=stats.size,
                 largest=stats.largest,
@@ -111,7 +113,7 @@
             )
 
     def _is_stale(self) -> bool:
-        """Tell whether a peer should not wait for news here."""
+        """Return whether the store has been silent for too long to wait for new records."""
         now = self.now()
         return any(
             now - kept.heard_at > max_silence_s(feed)
--- a/agaterail/gateway/peerselector.py
+++ b/agaterail/gateway/peerselector.py
@@ -1,4 +1,4 @@
-"""Which reader of the platform's store is asked next, and when none is."""
+"""Selection of the reader that a daemon polls next, with backoff per peer."""
 
 from __future__ import annotations
 
@@ -9,35 +9,42 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A peer without news is not asked for so long, twice as long after each further
-# answer without news in a row: while a reader is cut off from the store, each question
-# to it has a daemon read the store itself for a second.
+# Exponential backoff of a peer whose poll failed. Each poll of a reader that is cut off
+# from the store may make the polling daemon read the store itself for a second.
 INITIAL_BACKOFF_S = 2.5
 MAX_BACKOFF_S = 10.0
-# The store is read directly for so long after two peers in a row had no news, or one
-# of few: the next may be as badly off, and news must not wait for a third.
+# How long the store is read directly after two consecutive failures, or after one when
+# few readers are left. The next peer may be cut off too, and changes must not wait for
+# a third poll.
 DIRECT_READ_S = 1.0
 FAILURES_BEFORE_DIRECT_READ = 2
-# With fewer readers beside one without news, these may well be cut off with it, and a
-# question to each takes its wait: two readers that the store turned away at once left a
-# daemon on the former desired state for longer than allowed. With three or more the
-# last one shows its silence a wait after the first.
+# With fewer other readers than this, one failure is enough to read the store directly.
+# The others may be cut off as well, and polling each takes a full wait: when the store
+# refused both of two readers at once, a daemon kept the former desired state for longer
+# than allowed. With three or more readers, the last one shows its silence one wait
+# after the first.
 MIN_OTHER_READERS = 2
 
 
 @attrs.define
 class PeerSelector:
-    """Readers are asked in turn; free of I/O.
+    """Round-robin over the readers, with backoff per peer; does no I/O.
 
-    After a peer without news the next one is asked at once, as long as there are
-    several; where few are left the store is read directly without asking another.
+    After a failed poll the next reader is polled at once if there are several others.
+    If few are left, the store is read directly instead.
 
     Attributes
     ----------
     poll_count
-        Counts the questions; peers begin at different ones.
+        Position in the round-robin; daemons start at different positions.
     direct_until
         Time until which the store is read directly.
+    consecutive_failures
+        Failed polls of any peer since the last success.
+    failures
+        Consecutive failed polls of each peer.
+    backoff_until
+        Time until which each failed peer is not polled.
     """
 
     poll_count: int = 0
@@ -47,7 +54,7 @@
     backoff_until: dict[str, float] = attrs.field(factory=dict)
 
     def available(self, readers: Iterable[str], own: str, now: float) -> list[str]:
-        """Return the readers that may be asked."""
+        """Return the readers that may be polled; none in backoff and not this daemon."""
         return [
             address
             for address in readers
@@ -55,23 +62,23 @@
         ]
 
     def pick(self, available: list[str]) -> str:
-        """Return the one of them that is asked now."""
+        """Return the next of the available readers."""
         self.poll_count += 1
         return available[self.poll_count % len(available)]
 
     def record_success(self, address: str) -> None:
-        """Take in that a peer is well."""
+        """Reset the backoff of a peer."""
         self.failures.pop(address, None)
         self.backoff_until.pop(address, None)
         self.consecutive_failures = 0
 
     def record_failure(self, address: str, others: int, now: float) -> bool:
-        """Take in that a peer was silent or behind; tells whether to read directly.
+        """Back off from a peer; return whether to read the store directly.
 
         Parameters
         ----------
         others
-            Readers beside it that may be asked.
+            Number of other readers that may be polled.
         """
         before = self.failures.get(address, 0)
         self.failures[address] = before + 1
@@ -87,7 +94,7 @@
         return False
 
     def reset(self) -> None:
-        """Ask all again: the store was away for this daemon too, and is back."""
+        """Clear all backoffs, after an outage of the store that hit this daemon too."""
         self.failures.clear()
         self.backoff_until.clear()
         self.consecutive_failures = 0
--- a/agaterail/gateway/relay.py
+++ b/agaterail/gateway/relay.py
@@ -1,4 +1,4 @@
-"""What a daemon that reads the store keeps for those that ask it instead."""
+"""Records that a daemon keeps to serve them to its peers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Relay:
-    """All feeds of one daemon."""
+    """The relayed feeds of one daemon."""
 
     def __init__(self) -> None:
         self.feeds: dict[Feed, RelayedFeed] = {
@@ -23,9 +23,9 @@
         }
 
     def has_new_records(self, offsets: dict[Feed, int]) -> bool:
-        """Tell whether a peer with these offsets has something to learn."""
+        """Return whether there are records from a peer's offsets on."""
         return any(self.feeds[feed].next_offset > offset for feed, offset in offsets.items())
 
     def base_offsets(self) -> tuple[int, ...]:
-        """Return the offsets of records that a peer's differences may start from."""
+        """Return the offsets that a peer may use as bases of differences to this daemon."""
         return self.feeds[Feed.OPERATORS].base_offsets
--- a/agaterail/gateway/relayed/__init__.py
+++ b/agaterail/gateway/relayed/__init__.py
@@ -1,4 +1,4 @@
-"""What a daemon keeps of a feed for its peers: the base class."""
+"""Base class of the feeds that a daemon relays to its peers."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 
 @attrs.frozen
 class PackedRecord:
-    """A record as one daemon passes it on to another.
+    """A record as one daemon sends it to another.
 
     Attributes
     ----------
     value
-        Its value, or a packed difference.
+        Value of the record, or a packed difference.
     base
-        Offset of the record that the difference starts from; None if it is none.
+        Offset of the record that the difference starts from; None if the value is not a
+        difference.
     """
 
     offset: int
@@ -37,21 +38,23 @@
 
 @attrs.define
 class RelayedFeed(abc.ABC):
-    """The latest records of one feed and when the store was last known to end there.
+    """The latest records of one feed, and how current they are.
 
     Attributes
     ----------
     next_offset
         Offset up to which the records are known.
     read_at
-        Time at which the newest answered read of the store was sent.
+        Time at which the newest successful read of the store was sent.
     failing
-        The last read of the store failed: peers should ask elsewhere.
+        Whether the last read of the store failed, so that peers should poll another
+        reader.
     known_at
         Time since which some daemon is known to have had the newest record.
     heard_at
         Time at which the store last sent any bytes of this feed. A read of a large
-        record takes seconds, in which the reading grows old on a sound connection.
+        record takes seconds, in which the reading grows old although the connection
+        works.
     """
 
     next_offset: int = 0
@@ -61,30 +64,30 @@
     heard_at: float = NEVER
 
     def record_contact(self, at: float) -> None:
-        """Note that the store was heard of."""
+        """Record the time of data from the store."""
         self.heard_at = max(self.heard_at, at)
 
     @property
     def base_offsets(self) -> tuple[int, ...]:
-        """Return the offsets of records that a difference may start from."""
+        """Return the offsets of the records that a difference may start from."""
         return ()
 
     @abc.abstractmethod
     def add_reading(self, reading: Reading) -> None:
-        """Take in what a read brought; a listing holds the newest of each key."""
+        """Add the records of a reading; a listing contains the newest record of each key."""
 
     @abc.abstractmethod
     def pack_since(
         self, offset: int, base_offsets: Collection[int] = ()
     ) -> Sequence[PackedRecord] | None:
-        """Return what a peer lacks from an offset on; None if not all is known.
+        """Return the records from an offset on for a peer; None if some are not known.
 
         Parameters
         ----------
-        held
-            Offsets of records that differences may start from.
+        base_offsets
+            Offsets of records that the peer has and that differences may start from.
         """
 
     @abc.abstractmethod
     def unpack(self, packed: Sequence[PackedRecord]) -> Result[list[Record], str]:
-        """Return the records that a peer packed."""
+        """Return the records that a peer packed, or why they cannot be unpacked."""
--- a/agaterail/gateway/relayed/documents.py
+++ b/agaterail/gateway/relayed/documents.py
@@ -1,4 +1,4 @@
-"""Documents that are passed on as differences from what a peer has."""
+"""Feed of documents, which are relayed as differences from a version that the peer has."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
     from agaterail.gateway.controlstore import Reading, Record
 
-# Versions of a document that differences may start from. Versions follow each other
-# several a second at most, and a peer that asks twice a second has one of the last.
+# Versions per key that differences may start from. There are at most several versions
+# per second, so a peer that polls twice a second has one of the last ones.
 MAX_VERSIONS = 16
-# Better levels take twice the time for few bytes less.
+# Higher levels take twice the time and save few bytes.
 COMPRESSION_LEVEL = 1
-# A difference that unpacks to more is refused.
+# Limit of a decompressed difference; larger ones are rejected.
 MAX_UNPACKED_BYTES = 64 * 1024 * 1024
-# Base of a difference from nothing: it is the whole document.
+# Base offset of a difference from the empty document, which is the whole document.
 NO_BASE = -1
 
 
@@ -35,20 +35,20 @@
 class DocumentFeed(RelayedFeed):
     """The newest document of each key, and some versions before it.
 
-    Sent whole for each change of a row, a document of some thousand rows would fill the
-    link of a reader for seconds, and the last of its peers would have it as late. A
-    difference is as large as the change, is packed once for all that have the same
-    version, and leads over versions that were superseded meanwhile. Since the newest
-    of each key is all that counts, a peer can go on from any offset.
+    If a document of thousands of rows were sent whole for each changed row, it would
+    saturate the link of a reader for seconds, and the last of its peers would get it
+    seconds late. A difference is as large as the change, is packed once for all peers
+    with the same version, and skips versions that were superseded meanwhile. As only the
+    newest document of each key matters, a peer can continue from any offset.
 
     Attributes
     ----------
     versions
         The latest records of each key, the newest last.
     pack_cache
-        Packed differences by offset of the result and of the base.
+        Packed differences by the offsets of the result and of the base.
     has_listing
-        All keys are known, as of some listing.
+        Whether a listing was read, so that all keys are known.
     """
 
     versions: dict[str, deque[DocumentRecord]] = attrs.field(factory=dict)
@@ -61,7 +61,7 @@
         return tuple(versions[-1].offset for versions in self.versions.values())
 
     def add_reading(self, reading: Reading) -> None:
-        """Take in documents; older ones than those that are known bring nothing."""
+        """Add documents; versions older than the newest known one are ignored."""
         self.read_at = max(self.read_at, reading.read_at)
         self.has_listing = self.has_listing or reading.listed
         for record in reading.records:
@@ -83,7 +83,7 @@
         ]
 
     def unpack(self, packed: Sequence[PackedRecord]) -> Result[list[Record], str]:
-        """Return the documents; a difference that does not fit makes none."""
+        """Return the documents, or a failure if a difference does not apply."""
         records: list[Record] = []
         for item in packed:
             base = self._version(item.key, item.base)
@@ -136,7 +136,7 @@
         unpacker = zlib.decompressobj()
         text = unpacker.decompress(data, MAX_UNPACKED_BYTES)
         if not unpacker.eof:
-            return Failure("a difference that is cut or too large")
+            return Failure("truncated or too large difference")
         return Success(msgspec.msgpack.decode(text, type=Difference))
     except (zlib.error, msgspec.MsgspecError) as error:
         return Failure(str(error))
--- a/agaterail/gateway/relayed/records.py
+++ b/agaterail/gateway/relayed/records.py
@@ -1,4 +1,4 @@
-"""Records that are passed on as they lie in the store."""
+"""Feed of records that are relayed as they are stored."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
     from agaterail.gateway.controlstore import Reading, Record
 
-# A peer that asks for older records reads the store itself. Peers ask twice a
-# second; of a burst of registrations some hundred come in that time.
+# A peer that needs older records reads the store itself. Peers poll twice a second, and
+# a burst of registrations brings some hundred records in that time.
 MAX_RECORDS = 512
 
 
 @attrs.define
 class RecordFeed(RelayedFeed):
-    """The latest records, each as it was written.
+    """The latest records of a feed, without gaps.
 
     Attributes
     ----------
@@ -35,11 +35,11 @@
     records: deque[FeedRecord] = attrs.field(factory=deque)
 
     def add_reading(self, reading: Reading) -> None:
-        """Take in what a read brought; a listing begins anew.
+        """Add the records of a reading; a listing drops the kept records.
 
-        Reads of the store and answers of peers may overtake each other. An older
-        one brings nothing, and one that does not join what is kept begins anew:
-        with a gap inside, a peer would miss a change and never know.
+        Reads of the store and answers of peers may arrive out of order. An older reading
+        is ignored. A reading that is not contiguous with the kept records replaces them,
+        because a peer would miss a change in a gap without noticing.
         """
         self.read_at = max(self.read_at, reading.read_at)
         next_offset = reading.next_offset
@@ -81,5 +81,5 @@
         return [PackedRecord(item.offset, item.key, item.value) for item in records]
 
     def unpack(self, packed: Sequence[PackedRecord]) -> Result[list[Record], str]:
-        """Return the records that a peer packed."""
+        """Return the records that a peer packed; this never fails."""
         return Success([FeedRecord(item.offset, item.key, item.value) for item in packed])
--- a/agaterail/gateway/startuptimer.py
+++ b/agaterail/gateway/startuptimer.py
@@ -1,4 +1,4 @@
-"""How long each stage of a start takes."""
+"""Timing of the stages of a startup."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class StartupTimer:
-    """Logs when the start reached a stage, and how much processor time that took.
+    """Logs the elapsed time and the CPU time at each stage of a startup.
 
-    A start that waits for a processor shows a high age at a low processor time; one
-    that waits for the store shows it at the last stage.
+    A startup that waits for the CPU shows much elapsed time and little CPU time; one that
+    waits for the store shows the delay at the last stage.
 
     Parameters
     ----------
     started_at
-        Time at which the process began.
+        Time at which the process started.
     processor_at
-        Processor time of the process at that moment, in seconds.
+        CPU time of the process at that moment, in seconds.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self.now = now
 
     def log_stage(self, message: str, **fields: object) -> None:
-        """Write a line on a stage."""
+        """Log that a stage is reached."""
         logger.info(
             message,
             **fields,
@@ -50,7 +50,7 @@
         )
 
     def await_ready(self, daemon: Daemon) -> None:
-        """Write a line when the daemon is ready for callers."""
+        """Wait until the daemon is ready for callers, and log it; return if it stops."""
         while not daemon.ready:
             if daemon.stopping:
                 return
--- a/agaterail/gateway/state.py
+++ b/agaterail/gateway/state.py
@@ -1,4 +1,4 @@
-"""What this daemon believes of the world, changed only by its controllers."""
+"""State in force on this daemon; only its controllers change it."""
 
 from __future__ import annotations
 
@@ -20,30 +20,38 @@
 
 logger = logs.get_logger("state")
 
-# Two waits of a read and a slow call: as long as readings are no older, a change that
-# is read was made just now.
+# Two waits of a read and a slow call. If the previous reading is no older than this, a
+# change that is read now counts as made now.
 MAX_REGULAR_READING_GAP_S = 2.0
-# Vanished targets whose offset is remembered. A read is overtaken by seconds; in
-# that time far fewer targets vanish.
+# Number of removed targets whose offset is kept as a tombstone. Reads are overtaken by
+# seconds, in which far fewer targets are removed.
 MAX_TOMBSTONES = 1024
 
 
 class GatewayState:
     """Desired state, named weights and targets in force on this daemon.
 
-    Versions only move forward: a slow read that was overtaken by a newer one
-    must not bring back a route or a key that is gone.
+    Versions are monotonic: a slow read that was overtaken by a newer one must not
+    restore a removed route or a revoked key.
 
     Attributes
     ----------
     assumed_age_s
-        Age of a version that a process finds at its start, for all that it knows.
+        Age that is assumed for weights versions found at the start of the process.
     clock_skew_s
-        Largest error of a time of day.
+        Largest error of a host's time of day.
     naming
-        The newest record of the ages of versions that another process wrote.
+        Newest record of version ages that another process wrote.
     naming_since
-        Time by the own clock that is no later than its writing.
+        Lower bound, by this process's clock, of the time at which that record was
+        written.
+    may_be_outdated
+        Whether the reading is older than the bound, so that a newer desired state may
+        already be due.
+    target_offsets
+        Offset of the newest change of each target, with tombstones of removed targets.
+        Without them, a slow read that was overtaken by a peer's answer restored dead
+        targets.
     """
 
     def __init__(
@@ -60,11 +68,8 @@
         self.freshness = freshness
         self.book = book
         self.desired: DesiredState | None = None
-        # A newer desired state may be due: the reading is older than the bound.
         self.may_be_outdated = False
         self.weights: dict[str, NamedWeights] = {}
-        # Offset of the newest change of each target, vanished ones included: a slow
-        # read that was overtaken by a peer's answer brought dead targets back.
         self.target_offsets: dict[str, int] = {}
 
     def apply(
@@ -75,16 +80,17 @@
         arrival: Arrival | None = None,
         previous_read_at: float | None = None,
     ) -> None:
-        """Take in changes in the order of their offsets.
+        """Apply changes in the order of their offsets.
 
         Parameters
         ----------
         at_start
-            They were made at some time before this process first read.
-        read_before
-            Time at which the reading before was sent; they were made after it.
+            Whether this is the first read of the process, so that the changes may be of
+            any age.
         arrival
-            How they came, for the log.
+            Source and timing of the changes, for the log.
+        previous_read_at
+            Time at which the previous read was sent; the changes were made after it.
         """
         for change in changes:
             if isinstance(change, DesiredPublished):
@@ -96,7 +102,7 @@
                 self._apply_target(change, now)
 
     def log_staleness(self, now: float) -> None:
-        """Say when the desired state in force may have become outdated, and is not."""
+        """Log when the desired state becomes possibly outdated, and when it is confirmed."""
         outdated = self.desired is not None and not self.freshness.allows_denial(now)
         if outdated == self.may_be_outdated:
             return
@@ -108,10 +114,10 @@
         )
 
     def apply_listing(self, changes: Sequence[Change], next_offset: int, now: float) -> None:
-        """Take in all targets that were registered at an offset; the others vanished."""
+        """Apply a listing of the targets at an offset; targets not on it are removed."""
         listed = {change.instance for change in changes if isinstance(change, TargetChanged)}
-        # Those that had vanished before are noted anew: an older listing, overtaken by
-        # this one, may still name one that vanished twice.
+        # Tombstones are renewed too: an older listing that was overtaken by this one may
+        # still contain a target that has been removed twice.
         known = dict.fromkeys([*self.target_offsets, *self.book.targets])
         vanished = [
             TargetChanged(next_offset - 1, instance, None)
@@ -149,15 +155,15 @@
         time_of_day: float,
         written_after: float = NEVER,
     ) -> None:
-        """Take in for how long versions had been named when another process wrote it down.
+        """Apply the version ages that another process recorded.
 
-        The writing lies as far back as the times of day say, and by the largest error
-        of a clock more.
+        The record is taken to be as old as the times of day say, plus the largest error
+        of a clock.
 
         Parameters
         ----------
         written_after
-            Time by the own clock at which it is known not to have been written yet.
+            Time by this process's clock at which the record was not yet written.
         """
         self.naming = record
         elapsed_s = max(0.0, time_of_day - record.written_at)
@@ -176,7 +182,7 @@
             return
         self.weights[model] = found
         logger.info(
-            "Ages of weights restored.",
+            "Ages of weights versions restored.",
             model=model,
             ages_s={item.version: round(item.age_s, 1) for item in found.ages(now)},
         )
@@ -184,7 +190,7 @@
     def _earliest_naming_time(
         self, now: float, at_start: bool, previous_read_at: float | None
     ) -> float:
-        """Return a time that is no later than the naming of a version that was read now."""
+        """Return a lower bound of the time at which a version that was just read was named."""
         if at_start:
             return now - self.assumed_age_s
         if previous_read_at is None or now - previous_read_at <= MAX_REGULAR_READING_GAP_S:
@@ -200,7 +206,7 @@
         known = known or NamedWeights(())
         self.weights[change.model] = known.named(change.version, known_at, at_start)
         logger.info(
-            "Weights named.",
+            "New weights version named.",
             model=change.model,
             version=change.version,
             offset=change.offset,
@@ -213,7 +219,7 @@
     def _apply_target(self, change: TargetChanged, now: float) -> None:
         if change.offset < self.target_offsets.get(change.instance, -1):
             return
-        # Taken out first, so that the order of the names is that of their changes.
+        # Removed first, so that the dict is ordered by the time of the last change.
         self.target_offsets.pop(change.instance, None)
         self.target_offsets[change.instance] = change.offset
         known = self.book.targets.get(change.instance)
@@ -221,7 +227,7 @@
             self.book.remove(change.instance, now)
             if known is not None:
                 logger.info(
-                    "Target vanished.",
+                    "Target deregistered.",
                     target=change.instance,
                     kept=change.instance in self.book.targets,
                     offset=change.offset,
