--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -80,7 +80,7 @@
 
 @attrs.define
 class Answer:
-    """What a caller got on one connection."""
+    """Bytes that a caller received on one connection."""
 
     raw: bytes
 
@@ -106,7 +106,7 @@
 
 
 class Fleet:
-    """A store, two targets of each service and gateways before them."""
+    """A store, two targets of each service, and gateways in front of them."""
 
     def __init__(self, gateways: int = 1, bounds: Bounds = BOUNDS) -> None:
         self.store = PlatformStoreStandIn()
--- a/tests/large_state.py
+++ b/tests/large_state.py
@@ -11,7 +11,7 @@
 
 
 def make_rows(count, seed=1):
-    """Return rows of routes whose names and paths do not repeat."""
+    """Return rows of routes with distinct names and paths."""
     chance = random.Random(seed)
     return [
         route_row(
@@ -25,14 +25,14 @@
 
 
 def make_state(version, rows):
-    """Return the record of a desired state with these routes besides the usual ones."""
+    """Return the record of a desired state with these routes added to the default ones."""
     desired = make_desired(version)
     desired["routes"] += rows
     return json.dumps(desired, separators=(",", ":")).encode()
 
 
 def with_row_changed(rows, place):
-    """Return rows of which one has another timeout."""
+    """Return the rows with a changed timeout in one of them."""
     return [
         {**row, "timeout_ms": row["timeout_ms"] + 1} if number == place else row
         for number, row in enumerate(rows)
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -35,7 +35,7 @@
         self.assertEqual(answer.events, [b"data: r1-%d" % n for n in range(1, 9)])
 
     def test_no_smuggled_request_reaches_a_target(self):
-        # A caller hides a second request behind a first whose end is unclear.
+        # A caller hides a second request behind a first one with ambiguous framing.
         for name, data in MALFORMED.items():
             with self.subTest(name):
                 sock = self.fleet.connect()
@@ -58,9 +58,8 @@
         self.assertEqual(self.fleet.ask("/safe/x", key="k2").status, 200)
 
     def test_no_key_is_accepted_on_stale_reading(self):
-        # The store has been out of reach for longer than a key may be accepted
-        # after it was taken away. The caller is told to come back; a route
-        # without keys is served as before.
+        # The store has been unreachable for longer than a revoked key may be accepted. The
+        # caller is told to retry later; a route without keys is served as before.
         daemon = self.fleet.daemons[0]
         self.fleet.store.down = True
         daemon.freshness.confirmed_at -= BOUNDS.revoke_s
@@ -73,8 +72,8 @@
         self.assertEqual(self.fleet.ask("/safe/x").status, 200)
 
     def test_request_that_may_have_run_is_not_retried(self):
-        # The target's connection breaks after it began. The caller of a request
-        # that must not run twice gets 502, which promises nothing.
+        # The request fails at a target that may have started it. The caller of a request
+        # that must not run twice gets 502 or 504, which does not say whether it ran.
         for name in ("p-0", "p-1"):
             self.fleet.targets[name].hang = True
         answer = self.fleet.ask("/unsafe/x", body=b"pay", limit_ms=400)
@@ -107,8 +106,8 @@
         self.assertEqual(len(self.fleet.runs()), 2)
 
     def test_broken_stream_resumes_at_another_engine(self):
-        # The engine dies in the middle of the fourth event. The caller sees one
-        # stream without a gap, a repeat or half an event.
+        # The engine fails in the middle of the fourth event. The caller gets one stream
+        # without gaps, duplicates or partial events.
         self.fleet.targets["e-0"].break_after = 4
         self.fleet.targets["e-1"].break_after = 4
         broken = self.fleet.ask("/resumed/x", stream=True)
@@ -131,8 +130,8 @@
         self.assertEqual(len(self.fleet.runs()), 1)
 
     def test_duplicate_answer_reaches_no_other_caller(self):
-        # The target answers twice. The second copy lies on the connection where
-        # the next caller's answer is expected.
+        # The target answers twice. The second copy is on the connection where the next
+        # caller's answer is expected.
         for name in ("p-0", "p-1"):
             self.fleet.targets[name].doubled = True
         for number in range(6):
@@ -151,8 +150,8 @@
         self.assertEqual(sum(target.in_flight for target in self.targets()), 0)
 
     def test_target_at_reused_address_gets_no_foreign_requests(self):
-        # The target is gone and its address belongs to another one, which says
-        # so; the request goes where it should.
+        # The target is gone and its address belongs to another target, which refuses the
+        # request by its instance name; the request goes to the right one.
         self.fleet.targets["p-0"].instance = "p-9"
         self.assertEqual({self.fleet.ask("/unsafe/x").status for _ in range(4)}, {200})
         self.assertEqual(self.fleet.runs("p-0"), [])
@@ -207,8 +206,8 @@
         fleet.wait(lambda: all(d.state.desired.version == 5 for d in fleet.daemons), 2.0)
 
     def test_daemon_reads_store_when_readers_die(self):
-        # Both readers lose power right after a change was acknowledged. The
-        # others must have the change in force within the bound.
+        # Both readers lose power right after a change was acknowledged. The other daemons must
+        # have the change in force within the bound.
         fleet = Fleet(gateways=4)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 2)
@@ -221,16 +220,16 @@
 
 
 class LargeStateInAFleetTest(unittest.TestCase):
-    """Hosts that do not read the store have a large state's changes seconds late.
+    """Hosts that are not readers got changes of a large state seconds late.
 
-    Operators publish 2,800 routes and then change single ones, several times a second.
-    What a host is sent must be as small as the changes, or the links of the few hosts
-    that read the store carry it to the last of the others seconds after the first.
+    Operators publish 2,800 routes and then change single ones several times a second. The
+    answers must be as small as the changes. Otherwise the links of the few readers are
+    saturated, and the last host gets a change seconds after the first.
     """
 
     CHANGES = 5
-    # The whole, packed, takes some 60 KB; a change of a row some hundred bytes, with the
-    # news of targets that come with it.
+    # The packed whole state takes some 60 KB. A change of a row takes some hundred bytes,
+    # including changes of targets in the same answer.
     MAX_WHOLE_STATE_BYTES = 120_000
     MAX_CHANGE_BYTES = 2560
 
@@ -257,11 +256,11 @@
             responder = daemon.feeds.peer_responder
             responder._answer_news = record_sizes(responder._answer_news, sizes)
             responder.handlers[peerprotocol.PATH] = responder._answer_news
-        gevent.sleep(0.7)  # the questions that wait meanwhile end
+        gevent.sleep(0.7)  # until the waiting polls return
         self.publish(5, rows)
         self.wait_for(5)
         self.assertLess(max(sizes), self.MAX_WHOLE_STATE_BYTES)
-        gevent.sleep(0.7)  # the questions that wait meanwhile end
+        gevent.sleep(0.7)  # until the waiting polls return
         sizes.clear()
         for number in range(self.CHANGES):
             rows = with_row_changed(rows, 500 * number)
@@ -275,7 +274,7 @@
 
 
 def record_sizes(answer, sizes):
-    """Return the same with the sizes of its results noted."""
+    """Wrap a handler so that the sizes of its answers are recorded."""
 
     def wrapped(query):
         body = answer(query)
@@ -294,13 +293,13 @@
 
 
 def collect_direct_reads(feeds):
-    """Return a list to which each read of the store that brings something is added."""
-    found, take_in = [], feeds.apply_reading
+    """Return a list that collects each direct read of the store with new records."""
+    found, apply_reading = [], feeds.apply_reading
 
     def wrapped(feed, reading):
         if reading.records and reading.arrival.source == STORE:
             found.append(feed)
-        take_in(feed, reading)
+        apply_reading(feed, reading)
 
     feeds.apply_reading = wrapped
     return found
@@ -308,9 +307,9 @@
 
 class SilentReaderTest(unittest.TestCase):
     def test_silent_reader_does_not_delay_changes(self):
-        # One reader's channel to the store goes silent, unnoticed for two
-        # seconds. An engine leaves meanwhile; requests sent to it later than the
-        # drain bound would be lost. The other reader has the news, also for the first.
+        # One reader's connection to the store goes silent, undetected for two seconds. An
+        # engine drains meanwhile; requests sent to it after the drain bound would be lost.
+        # The other reader has the change, also for the first one.
         fleet = Fleet(gateways=4)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 2)
@@ -324,9 +323,9 @@
         self.assertEqual(direct_reads, [])
 
     def test_two_silent_readers_delay_changes_within_bound(self):
-        # Both readers are cut off from the store at the same moment, without a
-        # reset. A key is taken away meanwhile; a host that is well must have
-        # that in force within two seconds.
+        # Both readers are cut off from the store at the same time, without a connection
+        # reset. A key is revoked meanwhile; a healthy host must have the change in force
+        # within two seconds.
         fleet = Fleet(gateways=5)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 3)
@@ -339,7 +338,7 @@
 
 
 class SupersededVersionsTest(unittest.TestCase):
-    """A read that was cut counted as the log's end: revoked keys served, new routes denied."""
+    """A truncated read counted as current: revoked keys were served, new routes denied."""
 
     def setUp(self):
         self.fleet = Fleet()
@@ -358,7 +357,7 @@
             return follow(feed, offset, wait_s)
 
         self.daemon.store.follow = blocked_follow
-        gevent.sleep(0.8)  # the read that waits at the store ends
+        gevent.sleep(0.8)  # until the read that is waiting at the store returns
         for state in states:
             self.fleet.store.put("keyed.op", "config", state)
         return unblock
@@ -378,17 +377,17 @@
         reads = self.fleet.store.reads["keyed.op"]
         unblock.set()
         self.fleet.wait(lambda: self.daemon.state.desired.version == 18)
-        # A link of 10 Mbit/s needs 0.7 s for each of these versions, and others follow:
-        # read one by one, the newest is in force seconds late. One read finds that
-        # there is more, the next brings the newest.
+        # A link of 10 Mbit/s needs 0.7 s for each of these versions, and more follow: read
+        # one by one, the newest would take effect seconds late. One read finds that there
+        # is more, and the next returns the newest.
         self.assertLessEqual(self.fleet.store.reads["keyed.op"] - reads, 2)
 
 
 class StaleLeaseReadingTest(unittest.TestCase):
     def test_reader_with_stale_lease_only_is_still_polled(self):
-        # One reader cannot read the lease's log. Were its answers taken for useless,
-        # all daemons would read the store themselves, and its limit of calls would
-        # turn keys' readings away. Nor must it answer at once, again and again.
+        # One reader cannot read the lease feed. If its answers counted as failed, all
+        # daemons would read the store directly, and its rate limit would refuse the reads
+        # that keys depend on. The reader must not answer every poll immediately either.
         fleet = Fleet(gateways=3)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: any(not d.feeds.reads_directly for d in fleet.daemons))
@@ -398,7 +397,7 @@
         reader.store.follow = lambda feed, *rest: (
             gevent.sleep(60.0) if feed is Feed.LEASE else follow(feed, *rest)
         )
-        gevent.sleep(2.2)  # the read that waits at the store ends
+        gevent.sleep(2.2)  # until the read that is waiting at the store returns
         lease = reader.feeds.relay.feeds[Feed.LEASE]
         lease.failing, lease.read_at, lease.heard_at = True, float("-inf"), float("-inf")
         started = polling_daemon.now()
@@ -412,8 +411,8 @@
 
 class InternalErrorTest(unittest.TestCase):
     def test_internal_error_is_answered(self):
-        # A decision raises. The caller gets an answer that promises nothing
-        # instead of a connection that ends, and the daemon goes on.
+        # The choice of a target raises. The caller gets an answer that does not say whether
+        # the request ran, instead of a closed connection, and the daemon keeps running.
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         daemon = fleet.daemons[0]
@@ -435,9 +434,9 @@
 
 class OverloadTest(unittest.TestCase):
     def test_shed_prompt_is_refused_immediately(self):
-        # The engines are seconds behind. The daemon refuses most prompts; such a
-        # caller hears so at once, with a time to come back, and nothing has run.
-        # Requests that bring no prompt are not refused for it.
+        # The engines have a backlog of seconds, and the daemon sheds most prompts. Their
+        # callers are refused immediately with a time to retry, and nothing has run.
+        # Requests without a prompt are not shed.
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         daemon = fleet.daemons[0]
@@ -453,8 +452,8 @@
         self.assertIn(b"agaterail_refusal_chance 1.0", daemon.metrics.text(daemon))
 
     def test_finished_and_abandoned_prompts_leave_the_queue(self):
-        # Each prompt's wait must end with it, or the daemon would take long gone
-        # callers for a queue and refuse for ever.
+        # Each prompt must leave the queue when it ends. Otherwise the daemon would count
+        # disconnected callers as a queue and refuse prompts forever.
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         shedder = fleet.daemons[0].shedder_of(LLM)
@@ -469,8 +468,8 @@
 
 class IsolationTest(unittest.TestCase):
     def test_isolated_workspace_shares_no_cache(self):
-        # Two workspaces send the same prompt. In one scope the engine would
-        # answer one from what it read for the other.
+        # Two workspaces send the same prompt. In a shared scope the engine would reuse the
+        # cache of one workspace for the other.
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         desired = make_desired(2)
--- a/tests/test_agaterail/test_gateway/test_directfollower.py
+++ b/tests/test_agaterail/test_gateway/test_directfollower.py
@@ -20,14 +20,14 @@
         self.follower = DirectFollower(self.daemon.feeds, Feed.OPERATORS)
 
     def redirects_peers(self, error):
-        """Have a read fail; tells whether peers are sent elsewhere."""
+        """Let a read fail, and return whether peers are redirected to another reader."""
         self.daemon.feeds.relay.feeds[Feed.OPERATORS].failing = False
         self.daemon.store.follow = lambda *_: Failure(error)
         self.follower.step()
         return self.daemon.feeds.relay.feeds[Feed.OPERATORS].failing
 
     def test_timeout_does_not_redirect_peers(self):
-        """A read that timed out behind a reader's own answers sent its askers to the store."""
+        """A read that was delayed by the reader's own answers sent its peers to the store."""
         late = StoreError(StoreErrorKind.UNANSWERED, "timed out", timed_out=True)
         self.assertFalse(self.redirects_peers(late))
 
@@ -36,8 +36,8 @@
         self.assertTrue(self.redirects_peers(StoreError(StoreErrorKind.UNANSWERED, "reset")))
 
     def test_first_read_after_pause_does_not_wait(self):
-        # A daemon begins to read for others. While its first read waited for news, its
-        # askers found that it had heard nothing and all read the store themselves.
+        # A daemon becomes a reader. While its first read waited for new records, the daemons
+        # that polled it considered it cut off, and all of them read the store directly.
         self.assertEqual(self.follower._wait_s(self.daemon.now()), 0.0)
         self.follower.step()
         self.assertEqual(self.follower._wait_s(self.daemon.now()), WAIT_S)
--- a/tests/test_agaterail/test_gateway/test_documents.py
+++ b/tests/test_agaterail/test_gateway/test_documents.py
@@ -31,8 +31,8 @@
         self.assertEqual(found.size, 19)
 
     def test_unchanged_rows_are_shared(self):
-        # Sixteen versions of a state with 23,000 rows are kept; without it each of
-        # them would be as large as the whole.
+        # Sixteen versions of a state with 23,000 rows are kept. Without sharing, each of
+        # them would take the memory of a whole state.
         former = parse({"rows": [{"name": "x"}, {"name": "y"}]})
         found = documents.parse(b'{"rows":[{"name": "y"},{"name": "z"}]}', former).unwrap()
         self.assertIs(found.tables["rows"][0], former.tables["rows"][1])
--- a/tests/test_agaterail/test_gateway/test_membership.py
+++ b/tests/test_agaterail/test_gateway/test_membership.py
@@ -17,7 +17,7 @@
 
 
 class FakeStore:
-    """Deals all first partitions to members; their owners show bit by bit."""
+    """Assigns the first partitions; the test sets the owners that a lookup returns."""
 
     def __init__(self) -> None:
         self.owners: dict[int, str] = {}
@@ -61,9 +61,9 @@
         return MembershipController(daemon)
 
     def test_former_reader_looks_up_current_readers(self):
-        # The fleet changes and two readers lose their partitions. Both know of none
-        # but each other, and pass that on to whoever asks: all find old readings and
-        # read the store themselves, and its calls are turned away.
+        # The fleet changes and two readers lose their partitions. They knew only of each
+        # other and told so to every daemon that polled them: all got stale readings and
+        # read the store directly, which then refused calls.
         now, store, hub = [100.0], FakeStore(), FakeHub()
         membership = self.make_membership(now, store, hub)
         own = member_name("h", "10.0.0.1:7000", "b")
@@ -80,7 +80,7 @@
         membership.step()
         self.assertNotIn("10.0.0.1:7000", hub.readers)
         self.assertIn("10.0.0.3:7000", hub.readers)
-        # It reads on for a while, as the others may not know yet.
+        # It goes on reading for a grace period, as the others may not know yet.
         self.assertTrue(membership.is_reader)
 
     def test_stale_readers_are_looked_up_again(self):
@@ -99,10 +99,10 @@
         self.assertNotIn("10.0.0.8:7000", hub.readers)
 
     def test_lookup_repeats_until_all_readers_are_known(self):
-        # At a start 70 hosts join, and the partitions are dealt anew. The first
-        # look finds one owner. Were it the last look, 70 hosts would hang on one
-        # reader; when the store turned that one away, 25 others that it had turned
-        # away too accepted no key for 6 s, though 45 hosts read the store.
+        # At a start 70 hosts join and the partitions are rebalanced, so that the first
+        # lookup finds one owner. Without another lookup, 70 hosts depended on one reader:
+        # when the store refused it and 25 other hosts, these accepted no key for 6 s,
+        # although 45 hosts could read the store.
         now = [100.0]
         store = FakeStore()
         hub = FakeHub()
@@ -129,20 +129,21 @@
         self.assertEqual(address_of("foreign"), "")
 
     def test_readers_are_distinct_daemons(self):
-        # Two of the ranks lie at one member. Taken for two readers, its silence
-        # would leave everybody without news.
+        # One member holds two of the ranks. Counted as two readers, its failure would cut
+        # off all daemons from changes.
         ranked = {0: "a@1:1", 1: "a@1:1", 2: "foreign", 3: "b@2:2", 4: "c@3:3"}
         self.assertEqual(choose_readers(ranked, 6.0), ("1:1", "2:2"))
 
     def test_readers_with_fast_links_are_preferred(self):
-        """News was late through readers with slow links, beside daemons with fast ones."""
+        """Changes were late through readers with slow links, although others had fast ones."""
         slow = {n: member_name("s", f"s{n}:1", "b", 5.0) for n in range(8)}
         fast = {n: member_name("f", f"f{n}:1", "b", 100.0) for n in range(20, 22)}
         readers = choose_readers(slow | fast, 71.0)
         self.assertEqual(readers, ("f20:1", "f21:1", "s0:1"))
 
     def test_links_above_sufficient_bandwidth_rank_equally(self):
-        # Else a few hosts with the fastest links would read whatever happens to them.
+        # Otherwise the few hosts with the fastest links would always be the readers, in
+        # whatever state they are.
         links = (200.0, 1000.0, 60.0)
         members = {n: member_name("h", f"h{n}:1", "b", link) for n, link in enumerate(links)}
         self.assertEqual(choose_readers(members, 6.0), ("h0:1", "h1:1"))
--- a/tests/test_agaterail/test_gateway/test_peerpoller.py
+++ b/tests/test_agaterail/test_gateway/test_peerpoller.py
@@ -13,13 +13,13 @@
 
 
 def answer(age_s, heard_s, waited_s=0.0):
-    """Return an answer without records of a peer whose reading is so old."""
+    """Return an answer without records of a peer with a reading of this age."""
     news = FeedNews(age_s, known_s=9.0, heard_s=heard_s, next_offset=0, records=())
     return PeerAnswer({Feed.OPERATORS: news, Feed.TARGETS: news}, (), waited_s)
 
 
 class BusyReaderTest(unittest.TestCase):
-    """A reader with a large record on its way was taken for one that is cut off."""
+    """A reader that was receiving a large record was considered cut off from the store."""
 
     def setUp(self):
         self.fleet = Fleet()
@@ -44,8 +44,8 @@
         self.assertIn("old", problem)
 
     def test_reading_age_is_counted_from_peer_answer(self):
-        # A question waits at the peer for news. Counted from the question, the
-        # reading would seem older by that wait.
+        # The query waits at the peer for new records. Counted from the query, the reading
+        # would seem older by that wait.
         asked_at = self.daemon.now()
         self.poller.apply_answer(PEER, answer(0.1, heard_s=0.0, waited_s=0.6), asked_at + 9.0)
         self.assertAlmostEqual(self.daemon.freshness.confirmed_at, asked_at + 9.5)
@@ -53,7 +53,7 @@
     def test_partial_data_of_large_record_counts_as_contact(self):
         heard = []
         self.daemon.store.on_data = heard.append
-        gevent.sleep(0.7)  # the read that waits at the store ends
+        gevent.sleep(0.7)  # until the read that is waiting at the store returns
         heard.clear()
         self.fleet.store.put("keyed.op", "config", make_state(5, make_rows(2800)))
         self.fleet.wait(lambda: self.daemon.state.desired.version == 5)
@@ -62,9 +62,9 @@
 
 class ReaderListTest(unittest.TestCase):
     def test_reader_ignores_reader_list_of_peer(self):
-        # The fleet changed; one reader has looked up who reads now, another has not.
-        # Were the old list taken over, it would go round between the two, and daemons
-        # that read no longer would be asked by all.
+        # After a change of the fleet, one reader has looked up the new readers and another
+        # has not. If readers copied lists, the old one would circulate between the two, and
+        # all daemons would poll former readers.
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         daemon = fleet.daemons[0]
--- a/tests/test_agaterail/test_gateway/test_peerprotocol.py
+++ b/tests/test_agaterail/test_gateway/test_peerprotocol.py
@@ -48,9 +48,8 @@
 
     @given(st.floats(0.0, 5.0), st.floats(0.0, 2.0), st.floats(0.0, 2.0))
     def test_reading_age_is_never_underestimated(self, age_s, way_s, wait_s):
-        # The asker counts from when it asked and the time that the peer says it kept
-        # the question, less the age that the peer names at its answer; the true
-        # reading is later than that in any case.
+        # The polling daemon adds the reported wait to the time of its query and subtracts
+        # the reported age. The true time of the reading is never earlier than the result.
         asked_at = 100.0
         answered_at = asked_at + way_s + wait_s
         true_read_at = answered_at - age_s
--- a/tests/test_agaterail/test_gateway/test_peerselector.py
+++ b/tests/test_agaterail/test_gateway/test_peerselector.py
@@ -39,8 +39,8 @@
         self.assertFalse(self.selector.record_failure("c:1", others=2, now=0.1))
 
     def test_reset_makes_all_readers_available(self):
-        # The store was away and all readers were behind. Left alone for longer and
-        # longer, they would leave a hundred daemons to read the store.
+        # After an outage of the store all readers lag and are in backoff. Without a reset,
+        # a hundred daemons would go on to read the store directly.
         for address in READERS:
             self.selector.record_failure(address, others=2, now=0.0)
         self.assertEqual(self.selector.available(READERS, "x:1", 0.1), [])
@@ -49,11 +49,11 @@
 
 
 class TwoReadersTest(unittest.TestCase):
-    """A caller's key is accepted though it was taken away over two seconds ago.
+    """A key was still accepted more than two seconds after it was revoked.
 
-    The store turns both readers of a small fleet away at the same moment. One shows
-    its age 0.6 s after the other; a daemon that asks the second one first, and waits
-    for it, has the news too late.
+    The store refuses both readers of a small fleet at the same time. One of them is
+    detected as stale 0.6 s after the other; a daemon that polls both in turn gets the
+    change too late.
     """
 
     def test_one_failure_of_two_readers_triggers_direct_reads(self):
@@ -69,10 +69,10 @@
 
 
 class ReaderCutOffTest(unittest.TestCase):
-    """Every daemon calls the store, and callers' keys are refused when it turns calls away.
+    """All daemons read the store, which refused calls, so callers' keys were refused.
 
-    One of three readers is cut off from the store for 12 s and says so to whoever
-    asks. The others ask again and again, and each time read the store themselves.
+    One of three readers is cut off from the store for 12 s, and its answers show it.
+    The other daemons polled it repeatedly and read the store directly after each poll.
     """
 
     def test_one_lagging_reader_triggers_no_direct_reads(self):
--- a/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
+++ b/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
@@ -17,18 +17,18 @@
 
 
 def changed(feed, offset, rows, key="config"):
-    """Take in a state that was written at an offset."""
+    """Add a state that was written at an offset to a feed."""
     record = DocumentRecord(offset, key, make_document(offset, rows))
     feed.add_reading(Reading([record], offset + 1, 1.0, listed=False))
     return record
 
 
 class LargeStateTest(unittest.TestCase):
-    """Each version of a large state was passed on whole, and was in force seconds late."""
+    """Each version of a large state was relayed whole and took effect seconds late."""
 
-    # Sent to each of 410 daemons at 2,100 changes a day, half of the 5 KB/s that a
-    # daemon may use is 100 KB a change. A row has 250 bytes; ten times that leaves room
-    # for the frame and stays far below.
+    # Half of the 5 KB/s that a daemon may use is 100 KB per change, at 2,100 changes a day
+    # sent to each of 410 daemons. A row has 250 bytes; ten times that leaves room for the
+    # framing and is far below the limit.
     MAX_BYTES_PER_ROW = 2560
 
     def test_row_changes_are_sent_as_small_differences(self):
@@ -45,7 +45,7 @@
             )
         asked = PeerQuery({Feed.OPERATORS: 5}, base_offsets=(4,), wait_s=0.0)
         body = encode_answer(relay, asked, (), now=2.0)
-        # Three versions came since; two rows of them differ from what the asker has.
+        # Three versions followed; two rows differ from what the polling daemon has.
         self.assertLess(len(body), 2 * self.MAX_BYTES_PER_ROW)
 
 
@@ -58,7 +58,7 @@
         self.peer.add_reading(Reading([], 4, 0.0, listed=True))
 
     def transfer(self, offset):
-        """Return the records that the asker makes of the reader's answer."""
+        """Return the records that the peer unpacks from the reader's answer."""
         packed = self.reader.pack_since(offset, self.peer.base_offsets)
         return self.peer.unpack(packed)
 
@@ -77,8 +77,8 @@
         self.assertEqual(self.transfer(5).unwrap(), [newest])
 
     def test_evicted_version_is_not_used_as_base(self):
-        # An asker that was cut off for long comes back. The reader cannot know what
-        # it has; a difference from another version would make a state that never was.
+        # A peer reconnects after a long time with a version that the reader no longer has.
+        # A difference from another version would yield a state that was never published.
         changed(self.reader, 4, self.rows)
         self.peer.add_reading(Reading(self.transfer(4).unwrap(), 5, 1.0, listed=False))
         for offset in range(5, 6 + MAX_VERSIONS):
@@ -86,15 +86,15 @@
         self.assertEqual(self.transfer(5).unwrap(), [newest])
 
     def test_packed_difference_is_cached(self):
-        # Encoded for each asker, the work of a reader grew with its askers, and the
-        # last of them had the news seconds later.
+        # When each peer's answer was encoded anew, the work of a reader grew with the
+        # number of its peers, and the last of them got the change seconds later.
         changed(self.reader, 4, self.rows)
         changed(self.reader, 5, with_row_changed(self.rows, 3))
         first, second = (self.reader.pack_since(5, base_offsets=(4,))[0] for _ in range(2))
         self.assertIs(first.value, second.value)
 
     def test_small_documents_of_other_keys_do_not_wait_behind_a_large_one(self):
-        # New weights are named while a state of some thousand routes is passed on.
+        # New weights are named while a state with thousands of routes is being relayed.
         changed(self.reader, 4, self.rows)
         weights = documents.parse(b'{"model": "m", "version": 2}').unwrap()
         record = DocumentRecord(5, "version/m", weights)
@@ -102,8 +102,8 @@
         self.assertEqual(self.transfer(5).unwrap(), [record])
 
     def test_any_offset_can_continue_after_history_expired(self):
-        # The store dropped its history, and the reader has a listing only. Askers
-        # from before would all read the store themselves.
+        # The store dropped its history, and the reader has only a listing. Peers with older
+        # offsets would all read the store directly.
         changed(self.peer, 4, self.rows)
         newest = DocumentRecord(80, "config", make_document(80, self.rows[:5]))
         self.reader.add_reading(Reading([newest], 90, 2.0, listed=True))
--- a/tests/test_agaterail/test_gateway/test_relayed/test_records.py
+++ b/tests/test_agaterail/test_gateway/test_relayed/test_records.py
@@ -25,8 +25,8 @@
         self.assertEqual(self.feed.records_since(9), [])
 
     def test_too_old_offset_cannot_be_served(self):
-        # A daemon that was cut off asks for records that are gone here. With an
-        # empty answer it would believe that nothing happened.
+        # A daemon that was cut off polls for records that are no longer kept. An empty
+        # answer would make it believe that nothing changed.
         self.feed.add_reading(Reading([], 0, 1.0, listed=True))
         for offset in range(MAX_RECORDS + 10):
             self.feed.add_reading(Reading([record(offset)], offset + 1, 2.0, listed=False))
@@ -34,8 +34,8 @@
         self.assertEqual(len(self.feed.records_since(10)), MAX_RECORDS)
 
     def test_listing_resets_kept_records(self):
-        # The history expired: what lay between is known by its newest state
-        # only, which a peer must read for itself.
+        # The history expired: only the newest record of each key is known of the changes
+        # in between, so a peer must read the listing from the store.
         self.feed.add_reading(Reading([], 5, 1.0, listed=True))
         self.feed.add_reading(Reading([record(5)], 6, 1.0, listed=False))
         self.feed.add_reading(Reading([record(80)], 90, 2.0, listed=True))
@@ -43,9 +43,9 @@
         self.assertEqual(self.feed.records_since(90), [])
 
     def test_out_of_order_reading_leaves_no_gap(self):
-        # A peer's answer up to 5 comes after a read of the store up to 8. Were
-        # the copy set back, the next read would join at 8, and a peer that asks
-        # from 6 would never see the records 6 and 7.
+        # A peer's answer up to 5 arrives after a read of the store up to 8. If it reset the
+        # copy to 5, the next read would be appended at 8, and a peer that polls from 6
+        # would never get the records 6 and 7.
         self.feed.add_reading(Reading([], 5, 1.0, listed=True))
         self.feed.add_reading(Reading([record(5), record(6), record(7)], 8, 2.0, listed=False))
         self.feed.add_reading(Reading([], 5, 1.5, listed=False))
--- a/tests/test_agaterail/test_gateway/test_startuptimer.py
+++ b/tests/test_agaterail/test_gateway/test_startuptimer.py
@@ -11,7 +11,7 @@
 
 
 class StartupTimerTest(unittest.TestCase):
-    """A start was late, and no line said at which stage it had waited for what."""
+    """A startup was slow, and the log did not show which stage had waited for what."""
 
     def setUp(self):
         self.clock = 12.5
--- a/tests/test_agaterail/test_gateway/test_state.py
+++ b/tests/test_agaterail/test_gateway/test_state.py
@@ -26,15 +26,14 @@
         self.state = GatewayState(Freshness(5.0, 2.0), TargetBook(2.0), assumed_age_s=9.0)
 
     def test_desired_state_version_is_monotonic(self):
-        # A read that was overtaken arrives late: a route that was dropped must
-        # not be served again.
+        # A read that was overtaken arrives late. A removed route must not be restored.
         self.state.apply([DesiredPublished(5, make_desired(version=7))], 0.0)
         self.state.apply([DesiredPublished(4, make_desired(version=6))], 0.0)
         self.assertEqual(self.state.desired.version, 7)
 
     def test_staleness_change_is_logged_once(self):
-        # A host whose news takes longer than the bound serves by a former version and
-        # does not know it; whoever is on call must see since when.
+        # A host that gets changes later than the bound may serve an outdated version
+        # without knowing it. The log must show the operator since when.
         self.state.apply([DesiredPublished(5, make_desired(version=7))], 0.0)
         self.state.freshness.confirm(10.0)
         messages = []
@@ -53,8 +52,8 @@
         return info.call_args.args[0] if info.called else ""
 
     def test_weights_found_at_start_get_assumed_age(self):
-        # All daemons died and came back: when the version was named is not
-        # known, and the engines' older weights may be overdue.
+        # All daemons were restarted. When the version was named is unknown, and the
+        # engines' older weights may be overdue.
         self.state.apply([WeightsNamed(1, "m", 4)], 100.0, at_start=True)
         self.assertEqual(self.state.weights["m"].outdated_for_s(3, 100.0), 9.0)
         self.state.apply([WeightsNamed(2, "m", 5)], 101.0)
@@ -62,8 +61,8 @@
         self.assertEqual(self.state.weights["m"].newest, 5)
 
     def test_first_version_after_start_has_no_age(self):
-        # No version had been named before. Taken for old, all engines were
-        # loaded at once, and callers were refused for three seconds.
+        # No version had been named before. When the first one counted as old, all engines
+        # loaded it at once, and callers were refused for three seconds.
         self.state.apply([], 90.0, at_start=True)
         self.state.apply([WeightsNamed(1, "m", 2)], 100.0)
         self.assertEqual(self.state.weights["m"].outdated_for_s(1, 100.0), 0.0)
@@ -91,17 +90,17 @@
         self.state = GatewayState(Freshness(5.0, 2.0), self.book)
 
     def test_late_slice_does_not_restore_removed_target(self):
-        # A read of the store is slow; meanwhile a peer told of the registration
-        # and of its end. The slow answer still holds the registration: callers'
-        # requests would go to an address that another engine may have by now.
+        # While a read of the store is slow, a peer reports the registration and its
+        # removal. The slow answer still contains the registration: requests would go to
+        # an address that may belong to another engine by now.
         registered = TargetChanged(4, "i-1", make_entry())
         self.state.apply([registered, TargetChanged(5, "i-1", None)], 0.0)
         self.state.apply([registered], 0.1)
         self.assertEqual(self.book.of_service("s"), [])
 
     def test_late_listing_does_not_remove_newer_target(self):
-        # The listing was read before the target registered, and arrives after.
-        # The record is not read again, so the target would be missed for long.
+        # The listing was read before the target registered and arrives afterwards. The
+        # record is not read again, so the target would be missing for a long time.
         self.state.apply([TargetChanged(7, "i-1", make_entry())], 0.0)
         self.state.apply_listing([], 7, 0.1)
         self.assertEqual(len(self.book.of_service("s")), 1)
@@ -114,9 +113,9 @@
         self.assertEqual(self.book.of_service("s"), [])
 
     def test_older_listing_does_not_restore_target_removed_twice(self):
-        # A target vanishes, registers and vanishes again; only the first is heard of
-        # before a listing that lacks it. A listing from in between arrives late, and
-        # requests would be sent to a target that is gone.
+        # A target is removed, registers and is removed again. Only the first removal is
+        # seen before a listing without the target. A listing from in between arrives late,
+        # and requests would be sent to a removed target.
         self.state.apply([TargetChanged(0, "i-1", None)], 0.0)
         self.state.apply_listing([], 3, 0.1)
         self.state.apply_listing([TargetChanged(1, "i-1", make_entry())], 2, 0.2)
@@ -131,10 +130,10 @@
 
 
 class TargetsMachine(RuleBasedStateMachine):
-    """Reads of the targets' registrations that overtake each other.
+    """Out-of-order reads of the registrations of targets.
 
-    The log is what targets wrote. A daemon hears of it by slices and listings,
-    from the store or a peer, and any of them may arrive long after a newer one.
+    The log contains what targets wrote. A daemon receives slices and listings of it from
+    the store or a peer, and any of them may arrive long after a newer one.
     """
 
     @initialize()
@@ -143,7 +142,7 @@
         self.now = 100.0
         self.book = TargetBook(GRACE_S)
         self.state = GatewayState(Freshness(5.0, 2.0), self.book)
-        # Newest that was heard of each target: its offset and whether it lives.
+        # Offset and change that are the newest received of each target.
         self.newest_seen: dict[str, tuple[int, TargetChanged]] = {}
         self.returned_at = float("-inf")
         self.lapsing: set[str] = set()
@@ -213,7 +212,7 @@
 
 
 class VersionsMachine(RuleBasedStateMachine):
-    """Desired states and weights that arrive late, twice, or in the wrong order."""
+    """Desired states and weights that arrive late, twice or out of order."""
 
     @initialize()
     def begin(self):
@@ -245,7 +244,7 @@
             return
         later = [at for version, at in self.first_seen.items() if version > held]
         expected = self.now - min(later) if later else None
-        # Of more versions than are kept the first is forgotten.
+        # If there are more versions than are kept, the oldest is dropped.
         if len(self.first_seen) <= MOST_VERSIONS:
             assert self.state.weights["m"].outdated_for_s(held, self.now) == expected
 
