--- a/agaterail/gateway/documents.py
+++ b/agaterail/gateway/documents.py
@@ -1,4 +1,4 @@
-"""Published JSON objects, kept row by row, and the differences between them."""
+"""Published JSON objects, stored row by row, and the differences between them."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 _MEMBERS = msgspec.json.Decoder(dict[str, msgspec.Raw])
 _ROWS = msgspec.json.Decoder(list[msgspec.Raw])
-LIST_BEGINS = b"["
+LIST_START = b"["
 
 
 @attrs.frozen
 class Document:
-    """A JSON object of one version.
+    """One version of a JSON object.
 
     Attributes
     ----------
     members
-        Texts of the members that are no lists.
+        JSON texts of the members that are not lists.
     tables
-        Members that are lists, as the texts of their rows.
+        Members that are lists, as the JSON texts of their rows.
     """
 
     members: dict[str, bytes]
@@ -34,12 +34,12 @@
 
     @property
     def size(self) -> int:
-        """Return the bytes of all texts."""
+        """Return the total size of all texts in bytes."""
         tables = sum(sum(map(len, rows)) for rows in self.tables.values())
         return tables + sum(map(len, self.members.values()))
 
     def checksum(self) -> int:
-        """Return a checksum of names, texts and their order."""
+        """Return a checksum of the names, the texts and the order of rows."""
         found = 0
         for name, text in sorted(self.members.items()):
             found = zlib.crc32(text, zlib.crc32(name.encode() + b":", found))
@@ -53,12 +53,14 @@
 
 @attrs.frozen
 class Piece:
-    """Rows that are copied from the former table, and new ones that follow them.
+    """A range of rows to copy from the former table, and new rows after them.
 
     Attributes
     ----------
     start, count
-        Place of the first copied row, and how many.
+        Index of the first copied row, and number of copied rows.
+    rows
+        New rows.
     """
 
     start: int
@@ -68,16 +70,16 @@
 
 @attrs.frozen
 class Difference:
-    """What makes a document of a former one.
+    """Changes that turn a former document into a new one.
 
     Attributes
     ----------
     members
-        All members that are no lists; there are few of them.
+        All members that are not lists; they are few, so all of them are included.
     tables
         Pieces of each list.
     checksum
-        That of the result.
+        Checksum of the resulting document.
     """
 
     members: dict[str, bytes]
@@ -86,18 +88,21 @@
 
 
 def parse(text: bytes, former: Document = EMPTY) -> Result[Document, str]:
-    """Return the document of a JSON text.
+    """Parse the JSON text of a document.
 
-    Rows that the former document holds too are the same objects, so that a change of
-    one row needs memory for one row.
+    Rows that are unchanged from the former document are the same objects, so that a
+    change of one row takes the memory of one row.
     """
     try:
         found = _MEMBERS.decode(text)
-        lists = {n for n, raw in found.items() if memoryview(raw)[:1] == LIST_BEGINS}
+        lists = {n for n, raw in found.items() if memoryview(raw)[:1] == LIST_START}
         return Success(
             Document(
                 {name: bytes(raw) for name, raw in found.items() if name not in lists},
-                {name: _rows(found[name], former.tables.get(name, ())) for name in lists},
+                {
+                    name: _decode_rows(found[name], former.tables.get(name, ()))
+                    for name in lists
+                },
             )
         )
     except msgspec.MsgspecError as error:
@@ -105,11 +110,11 @@
 
 
 def difference(former: Document, document: Document) -> Difference:
-    """Return what makes a document of a former one."""
+    """Return the difference from a former document."""
     return Difference(
         document.members,
         {
-            name: tuple(_pieces(former.tables.get(name, ()), rows))
+            name: tuple(_diff_rows(former.tables.get(name, ()), rows))
             for name, rows in document.tables.items()
         },
         document.checksum(),
@@ -117,45 +122,45 @@
 
 
 def apply(former: Document, change: Difference) -> Result[Document, str]:
-    """Return the document that a difference makes of a former one."""
+    """Apply a difference to a former document."""
     try:
         tables = {
-            name: _joined(former.tables.get(name, ()), pieces)
+            name: _apply_pieces(former.tables.get(name, ()), pieces)
             for name, pieces in change.tables.items()
         }
     except IndexError as error:
         return Failure(str(error))
     document = Document(change.members, tables)
     if document.checksum() != change.checksum:
-        return Failure("another checksum")
+        return Failure("checksum mismatch")
     return Success(document)
 
 
-def _rows(text: msgspec.Raw, former: Sequence[bytes]) -> tuple[bytes, ...]:
+def _decode_rows(text: msgspec.Raw, former: Sequence[bytes]) -> tuple[bytes, ...]:
     known = {row: row for row in former}
     rows = (bytes(raw) for raw in _ROWS.decode(text))
     return tuple(known.get(row, row) for row in rows)
 
 
-def _pieces(former: Sequence[bytes], rows: Sequence[bytes]) -> Iterator[Piece]:
+def _diff_rows(former: Sequence[bytes], rows: Sequence[bytes]) -> Iterator[Piece]:
     places = {row: place for place, row in enumerate(former)}
     start = count = 0
-    fresh: list[bytes] = []
+    new_rows: list[bytes] = []
     for row in rows:
         end = start + count
-        if not fresh and end < len(former) and former[end] == row:
+        if not new_rows and end < len(former) and former[end] == row:
             count += 1
             continue
         place = places.get(row)
         if place is None:
-            fresh.append(row)
+            new_rows.append(row)
             continue
-        yield Piece(start, count, tuple(fresh))
-        start, count, fresh = place, 1, []
-    yield Piece(start, count, tuple(fresh))
+        yield Piece(start, count, tuple(new_rows))
+        start, count, new_rows = place, 1, []
+    yield Piece(start, count, tuple(new_rows))
 
 
-def _joined(former: Sequence[bytes], pieces: Sequence[Piece]) -> tuple[bytes, ...]:
+def _apply_pieces(former: Sequence[bytes], pieces: Sequence[Piece]) -> tuple[bytes, ...]:
     rows: list[bytes] = []
     for piece in pieces:
         end = piece.start + piece.count
--- a/agaterail/gateway/stopping.py
+++ b/agaterail/gateway/gracefulstop.py
@@ -1,4 +1,4 @@
-"""The steps from SIGTERM to the end of the process."""
+"""Graceful shutdown of a gateway daemon after SIGTERM."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 logger = logs.get_logger("stop")
 
-# The balancer asks each second and takes a daemon out after two misses; its
-# connections of the last second are still on their way then.
+# The load balancer probes readiness every second and removes a daemon after two failed
+# probes; connections that it opened in the last second may still be on their way then.
 BALANCER_LAG_S = 3.0
-# The process must be gone before the platform kills it.
+# The process must exit this long before the platform kills it.
 KILL_MARGIN_S = 0.4
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
-class Stopper:
-    """Ends a daemon without cutting a request.
+class GracefulStop:
+    """Stops a daemon without interrupting requests.
 
-    Readiness fails at once while the listener stays open: connections that the
-    balancer still sends are served. Kept connections end with an answer that
-    says so, or when they are idle after the balancer has turned away.
+    Readiness fails at once, but the listener stays open to serve connections that the
+    load balancer still opens. Keep-alive connections are closed after an answer that
+    announces it, or when they are idle after the load balancer has removed the daemon.
     """
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
     def run(self) -> None:
-        """Drain, at most for the time that the platform grants."""
+        """Drain connections, at most for the grace period of the platform."""
         daemon = self.daemon
         began = daemon.now()
         daemon.stopping = True
         daemon.front.begin_stop()
         logger.info("Stopping.", busy=daemon.front.busy)
-        gevent.spawn(self._hand_over)
+        gevent.spawn(self._leave_fleet)
         last = began + daemon.settings.bounds.grace_s - KILL_MARGIN_S
         lag = min(BALANCER_LAG_S, daemon.settings.bounds.grace_s / 2.0)
         gevent.sleep(lag)
@@ -47,9 +47,9 @@
         daemon.front.stop_accepting()
         while daemon.front.connections and daemon.now() < last:
             daemon.front.close_idle()
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
         logger.info("Stopped.", took_s=round(daemon.now() - began, 3), cut=daemon.front.busy)
 
-    def _hand_over(self) -> None:
+    def _leave_fleet(self) -> None:
         self.daemon.weights.release()
         self.daemon.membership.leave()
--- /dev/null
+++ b/agaterail/gateway/peerresponder.py
@@ -0,0 +1,122 @@
+"""Server for the queries of peers."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import attrs
+
+from agaterail import logs
+from agaterail.gateway import peerprotocol
+from agaterail.gateway.desired import CallerLimits
+from agaterail.gateway.feedtimes import PEER_WAIT_S, REQUIRED_FEEDS, max_silence_s
+from agaterail.gateway.front import Front
+from agaterail.util.units import MS_PER_S
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from agaterail.gateway.feedhub import FeedHub
+    from agaterail.gateway.front import CallerConnection
+    from agaterail.gateway.inbound import Inbound
+    from agaterail.util.address import Address
+
+logger = logs.get_logger("feeds")
+
+OK, BAD_REQUEST, NOT_FOUND = 200, 400, 404
+# Answers from this size on take more than a few packets and queue behind others.
+LARGE_ANSWER_BYTES = 4096
+
+
+@attrs.define
+class AnswerStats:
+    """Number, size and encoding time of the answers to peers.
+
+    Attributes
+    ----------
+    size, largest
+        Bytes of all answers and of the largest.
+    encode_s
+        Seconds spent on encoding.
+    """
+
+    answers: int = 0
+    size: int = 0
+    largest: int = 0
+    encode_s: float = 0.0
+
+    def add(self, size: int, encode_s: float) -> None:
+        """Add one answer to the totals."""
+        self.answers += 1
+        self.size += size
+        self.largest = max(self.largest, size)
+        self.encode_s += encode_s
+
+
+class PeerResponder:
+    """Listens for peers and answers their queries.
+
+    Attributes
+    ----------
+    handlers
+        Functions by path that return the body of the answer to a query string.
+    """
+
+    def __init__(self, hub: FeedHub, address: Address, now: Callable[[], float]) -> None:
+        self.hub = hub
+        self.now = now
+        self.stats = AnswerStats()
+        self.handlers: dict[bytes, Callable[[bytes], bytes]] = {
+            peerprotocol.PATH: self._answer_news
+        }
+        self.server = Front(address, self.handle, CallerLimits, now)
+
+    def handle(self, inbound: Inbound, caller: CallerConnection) -> None:
+        """Answer one request of a peer."""
+        path, _, query = inbound.target.partition(b"?")
+        handler = self.handlers.get(path)
+        if handler is None:
+            caller.send_answer(NOT_FOUND, [], b"")
+            return
+        try:
+            body = handler(query)
+        except ValueError:
+            caller.send_answer(BAD_REQUEST, [], b"")
+            return
+        send = (
+            caller.send_answer if len(body) < LARGE_ANSWER_BYTES else caller.send_large_answer
+        )
+        send(OK, [], body)
+
+    def _answer_news(self, query: bytes) -> bytes:
+        question = peerprotocol.decode_query(query)
+        received_at = self.now()
+        if not self.hub.relay.has_new_records(question.offsets) and not self._is_stale():
+            self.hub.new_records.wait(min(question.wait_s, PEER_WAIT_S))
+        now = self.now()
+        body = peerprotocol.encode_answer(
+            self.hub.relay, question, self.hub.readers, now, now - received_at
+        )
+        self.stats.add(len(body), self.now() - now)
+        return body
+
+    def log_stats(self) -> None:
+        """Log and reset the totals, once per new desired state."""
+        stats, self.stats = self.stats, AnswerStats()
+        if stats.answers:
+            logger.info(
+                "Answers to peers.",
+                answers=stats.answers,
+                size=stats.size,
+                largest=stats.largest,
+                encode_ms=round(stats.encode_s * MS_PER_S, 1),
+            )
+
+    def _is_stale(self) -> bool:
+        """Return whether the store has been silent for too long to wait for new records."""
+        now = self.now()
+        return any(
+            now - kept.heard_at > max_silence_s(feed)
+            for feed, kept in self.hub.relay.feeds.items()
+            if feed in REQUIRED_FEEDS
+        )
--- a/agaterail/gateway/startstages.py
+++ b/agaterail/gateway/startuptimer.py
@@ -1,4 +1,4 @@
-"""How long each stage of a start takes."""
+"""Timing of the stages of a startup."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 logger = logs.get_logger("main")
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
-class StartStages:
-    """Logs when the start reached a stage, and how much processor time that took.
+class StartupTimer:
+    """Logs the elapsed time and the CPU time at each stage of a startup.
 
-    A start that waits for a processor shows a high age at a low processor time; one
-    that waits for the store shows it at the last stage.
+    A startup that waits for the CPU shows much elapsed time and little CPU time; one that
+    waits for the store shows the delay at the last stage.
 
     Parameters
     ----------
     started_at
-        Time at which the process began.
+        Time at which the process started.
     processor_at
-        Processor time of the process at that moment, in seconds.
+        CPU time of the process at that moment, in seconds.
     """
 
     def __init__(
@@ -40,22 +40,22 @@
         self.processor_at = processor_at
         self.now = now
 
-    def reached(self, sentence: str, **fields: object) -> None:
-        """Write a line on a stage."""
+    def log_stage(self, message: str, **fields: object) -> None:
+        """Log that a stage is reached."""
         logger.info(
-            sentence,
+            message,
             **fields,
             start_s=round(self.now() - self.started_at, 3),
             processor_s=round(time.process_time() - self.processor_at, 3),
         )
 
     def await_ready(self, daemon: Daemon) -> None:
-        """Write a line when the daemon is ready for callers."""
+        """Wait until the daemon is ready for callers, and log it; return if it stops."""
         while not daemon.ready:
             if daemon.stopping:
                 return
-            gevent.sleep(POLL_S)
-        self.reached(
+            gevent.sleep(POLL_INTERVAL_S)
+        self.log_stage(
             "Ready.",
             targets=len(daemon.book.targets),
             readers=len(daemon.feeds.readers),
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -6,7 +6,7 @@
 import gevent
 import gevent.event
 
-from agaterail.gateway import peerfeed
+from agaterail.gateway import peerprotocol
 from agaterail.gateway.controlstore import STORE, Feed
 from tests.gateway_fleet import BOUNDS, LLM, MODEL, Answer, Fleet, make_desired, read_all
 from tests.large_state import make_rows, make_state, with_row_changed
@@ -18,7 +18,7 @@
         self.fleet = Fleet()
         self.addCleanup(self.fleet.stop)
 
-    def test_a_plain_answer_is_the_target_s_own(self):
+    def test_plain_answer_is_forwarded_unchanged(self):
         answer = self.fleet.ask("/safe/x?q=%2F", headers=["Tenant: evil"])
         run = self.fleet.runs()[0]
         self.assertEqual(answer.status, 200)
@@ -29,13 +29,13 @@
         self.assertLess(int(run.headers["deadline-ms"]), 2000)
         self.assertNotIn("authorization", run.headers)
 
-    def test_a_stream_is_whole_and_in_order(self):
+    def test_stream_is_complete_and_ordered(self):
         answer = self.fleet.ask("/once/x", stream=True)
         self.assertTrue(answer.whole_stream)
         self.assertEqual(answer.events, [b"data: r1-%d" % n for n in range(1, 9)])
 
     def test_no_smuggled_request_reaches_a_target(self):
-        # A caller hides a second request behind a first whose end is unclear.
+        # A caller hides a second request behind a first one with ambiguous framing.
         for name, data in MALFORMED.items():
             with self.subTest(name):
                 sock = self.fleet.connect()
@@ -51,16 +51,15 @@
         self.assertEqual(self.fleet.ask("/open/x", key="").status, 200)
         self.assertEqual(len(self.fleet.runs()), 1)
 
-    def test_a_key_that_was_taken_away_is_refused(self):
+    def test_revoked_key_is_refused(self):
         self.fleet.publish(make_desired(2, keys=["k2"]))
         self.fleet.wait(lambda: self.fleet.daemons[0].state.desired.version == 2)
         self.assertEqual(self.fleet.ask("/safe/x", key="k1").status, 401)
         self.assertEqual(self.fleet.ask("/safe/x", key="k2").status, 200)
 
-    def test_no_key_is_accepted_on_an_old_reading(self):
-        # The store has been out of reach for longer than a key may be accepted
-        # after it was taken away. The caller is told to come back; a route
-        # without keys is served as before.
+    def test_no_key_is_accepted_on_stale_reading(self):
+        # The store has been unreachable for longer than a revoked key may be accepted. The
+        # caller is told to retry later; a route without keys is served as before.
         daemon = self.fleet.daemons[0]
         self.fleet.store.down = True
         daemon.freshness.confirmed_at -= BOUNDS.revoke_s
@@ -72,9 +71,9 @@
         self.fleet.wait(lambda: daemon.freshness.allows_keys(daemon.now()))
         self.assertEqual(self.fleet.ask("/safe/x").status, 200)
 
-    def test_a_request_that_may_have_run_is_not_sent_again(self):
-        # The target's connection breaks after it began. The caller of a request
-        # that must not run twice gets 502, which promises nothing.
+    def test_request_that_may_have_run_is_not_retried(self):
+        # The request fails at a target that may have started it. The caller of a request
+        # that must not run twice gets 502 or 504, which does not say whether it ran.
         for name in ("p-0", "p-1"):
             self.fleet.targets[name].hang = True
         answer = self.fleet.ask("/unsafe/x", body=b"pay", limit_ms=400)
@@ -82,7 +81,7 @@
         self.assertNotIn("server-stamp", answer.head)
         self.assertEqual(len(self.fleet.runs()), 1)
 
-    def test_a_refusal_of_all_targets_says_that_it_did_not_run(self):
+    def test_refusal_by_all_targets_is_reported_as_not_run(self):
         for target in self.fleet.targets.values():
             target.refuse = True
         answer = self.fleet.ask("/unsafe/x", body=b"pay")
@@ -90,25 +89,25 @@
         self.assertIn("retry-after", answer.head)
         self.assertEqual(self.fleet.runs(), [])
 
-    def test_a_target_that_refuses_is_passed_over(self):
+    def test_refusing_target_is_skipped(self):
         self.fleet.targets["p-0"].refuse = True
         statuses = {self.fleet.ask("/unsafe/x", request_id=f"r{n}").status for n in range(6)}
         self.assertEqual(statuses, {200})
 
-    def test_a_safe_request_is_tried_at_a_second_target(self):
+    def test_safe_request_is_retried_at_second_target(self):
         self.fleet.targets["p-0"].error = True
         self.assertEqual({self.fleet.ask("/safe/x").status for _ in range(4)}, {200})
 
-    def test_a_failure_of_both_targets_is_passed_on(self):
+    def test_failure_of_both_targets_is_forwarded(self):
         for name in ("p-0", "p-1"):
             self.fleet.targets[name].error = True
         answer = self.fleet.ask("/safe/x")
         self.assertEqual((answer.status, answer.body), (500, b"failed"))
         self.assertEqual(len(self.fleet.runs()), 2)
 
-    def test_a_stream_that_breaks_goes_on_at_another_engine(self):
-        # The engine dies in the middle of the fourth event. The caller sees one
-        # stream without a gap, a repeat or half an event.
+    def test_broken_stream_resumes_at_another_engine(self):
+        # The engine fails in the middle of the fourth event. The caller gets one stream
+        # without gaps, duplicates or partial events.
         self.fleet.targets["e-0"].break_after = 4
         self.fleet.targets["e-1"].break_after = 4
         broken = self.fleet.ask("/resumed/x", stream=True)
@@ -122,7 +121,7 @@
             wanted = [b"data: s%d-%d" % (number, n) for n in range(1, 9)]
             self.assertEqual(answer.events, wanted)
 
-    def test_a_broken_stream_that_cannot_be_resumed_does_not_look_complete(self):
+    def test_broken_non_resumable_stream_is_cut(self):
         for name in ("e-0", "e-1"):
             self.fleet.targets[name].break_after = 4
         answer = self.fleet.ask("/once/x", stream=True)
@@ -130,9 +129,9 @@
         self.assertFalse(answer.whole_stream)
         self.assertEqual(len(self.fleet.runs()), 1)
 
-    def test_a_doubled_answer_reaches_no_other_caller(self):
-        # The target answers twice. The second copy lies on the connection where
-        # the next caller's answer is expected.
+    def test_duplicate_answer_reaches_no_other_caller(self):
+        # The target answers twice. The second copy is on the connection where the next
+        # caller's answer is expected.
         for name in ("p-0", "p-1"):
             self.fleet.targets[name].doubled = True
         for number in range(6):
@@ -140,7 +139,7 @@
             self.assertIn(f"r{number}".encode(), answer.body)
             self.assertNotIn(f"r{number - 1} ".encode(), answer.body)
 
-    def test_work_ends_when_the_caller_leaves(self):
+    def test_work_is_canceled_when_caller_disconnects(self):
         for name in ("e-0", "e-1"):
             self.fleet.targets[name].event_s = 0.1
         sock = self.fleet.connect()
@@ -150,14 +149,14 @@
         gevent.sleep(0.3)
         self.assertEqual(sum(target.in_flight for target in self.targets()), 0)
 
-    def test_a_target_at_a_used_address_gets_nothing_that_is_not_its_own(self):
-        # The target is gone and its address belongs to another one, which says
-        # so; the request goes where it should.
+    def test_target_at_reused_address_gets_no_foreign_requests(self):
+        # The target is gone and its address belongs to another target, which refuses the
+        # request by its instance name; the request goes to the right one.
         self.fleet.targets["p-0"].instance = "p-9"
         self.assertEqual({self.fleet.ask("/unsafe/x").status for _ in range(4)}, {200})
         self.assertEqual(self.fleet.runs("p-0"), [])
 
-    def test_kept_connections_serve_one_request_after_the_other(self):
+    def test_keep_alive_connection_serves_sequential_requests(self):
         sock = self.fleet.connect()
         for number in range(5):
             sock.sendall(self.fleet.request("/safe/x", f"r{number}"))
@@ -174,7 +173,7 @@
 
 
 class WeightsTest(unittest.TestCase):
-    def test_engines_get_the_weights_that_are_named_from_one_host(self):
+    def test_engines_load_named_weights_by_order_of_one_host(self):
         fleet = Fleet(gateways=3)
         self.addCleanup(fleet.stop)
         engines = [fleet.targets["e-0"], fleet.targets["e-1"]]
@@ -199,47 +198,47 @@
 
 
 class FeedsTest(unittest.TestCase):
-    def test_daemons_that_do_not_read_the_store_learn_of_changes_too(self):
+    def test_non_readers_receive_changes(self):
         fleet = Fleet(gateways=4)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 2)
         fleet.publish(make_desired(5))
         fleet.wait(lambda: all(d.state.desired.version == 5 for d in fleet.daemons), 2.0)
 
-    def test_a_daemon_whose_peers_die_reads_the_store_itself(self):
-        # Both readers lose power right after a change was acknowledged. The
-        # others must have the change in force within the bound.
+    def test_daemon_reads_store_when_readers_die(self):
+        # Both readers lose power right after a change was acknowledged. The other daemons must
+        # have the change in force within the bound.
         fleet = Fleet(gateways=4)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 2)
         others = [d for d in fleet.daemons if not d.membership.is_reader]
         for daemon in fleet.daemons:
             if daemon.membership.is_reader:
-                daemon.feeds.peer_answers.server.close()
+                daemon.feeds.peer_responder.server.close()
         fleet.publish(make_desired(6))
         fleet.wait(lambda: all(d.state.desired.version == 6 for d in others), 2.0)
 
 
 class LargeStateInAFleetTest(unittest.TestCase):
-    """Hosts that do not read the store have a large state's changes seconds late.
+    """Hosts that are not readers got changes of a large state seconds late.
 
-    Operators publish 2,800 routes and then change single ones, several times a second.
-    What a host is sent must be as small as the changes, or the links of the few hosts
-    that read the store carry it to the last of the others seconds after the first.
+    Operators publish 2,800 routes and then change single ones several times a second. The
+    answers must be as small as the changes. Otherwise the links of the few readers are
+    saturated, and the last host gets a change seconds after the first.
     """
 
     CHANGES = 5
-    # The whole, packed, takes some 60 KB; a change of a row some hundred bytes, with the
-    # news of targets that come with it.
-    MOST_BYTES_OF_THE_WHOLE = 120_000
-    MOST_BYTES_OF_A_CHANGE = 2560
+    # The packed whole state takes some 60 KB. A change of a row takes some hundred bytes,
+    # including changes of targets in the same answer.
+    MAX_WHOLE_STATE_BYTES = 120_000
+    MAX_CHANGE_BYTES = 2560
 
     def setUp(self):
         self.fleet = Fleet(gateways=5)
         self.addCleanup(self.fleet.stop)
-        self.fleet.wait(lambda: len(self.askers()) >= 3)
+        self.fleet.wait(lambda: len(self.polling_daemons()) >= 3)
 
-    def askers(self):
+    def polling_daemons(self):
         return [d for d in self.fleet.daemons if not d.feeds.reads_directly]
 
     def publish(self, version, rows):
@@ -250,32 +249,32 @@
             lambda: all(d.state.desired.version == version for d in self.fleet.daemons)
         )
 
-    def test_changes_of_a_large_state_are_in_force_and_small(self):
+    def test_changes_of_large_state_are_small_and_take_effect(self):
         rows = make_rows(2800)
         sizes = []
         for daemon in self.fleet.daemons:
-            passed_on = daemon.feeds.peer_answers
-            passed_on._answer_news = measured(passed_on._answer_news, sizes)
-            passed_on.answers[peerfeed.PATH] = passed_on._answer_news
-        gevent.sleep(0.7)  # the questions that wait meanwhile end
+            responder = daemon.feeds.peer_responder
+            responder._answer_news = record_sizes(responder._answer_news, sizes)
+            responder.handlers[peerprotocol.PATH] = responder._answer_news
+        gevent.sleep(0.7)  # until the waiting polls return
         self.publish(5, rows)
         self.wait_for(5)
-        self.assertLess(max(sizes), self.MOST_BYTES_OF_THE_WHOLE)
-        gevent.sleep(0.7)  # the questions that wait meanwhile end
+        self.assertLess(max(sizes), self.MAX_WHOLE_STATE_BYTES)
+        gevent.sleep(0.7)  # until the waiting polls return
         sizes.clear()
         for number in range(self.CHANGES):
             rows = with_row_changed(rows, 500 * number)
             self.publish(6 + number, rows)
             gevent.sleep(0.1)
         self.wait_for(5 + self.CHANGES)
-        self.assertLess(max(sizes), self.CHANGES * self.MOST_BYTES_OF_A_CHANGE)
+        self.assertLess(max(sizes), self.CHANGES * self.MAX_CHANGE_BYTES)
         routes = self.fleet.daemons[0].state.desired.routes
         for daemon in self.fleet.daemons:
             self.assertEqual(daemon.state.desired.routes, routes)
 
 
-def measured(answer, sizes):
-    """Return the same with the sizes of its results noted."""
+def record_sizes(answer, sizes):
+    """Wrap a handler so that the sizes of its answers are recorded."""
 
     def wrapped(query):
         body = answer(query)
@@ -286,31 +285,31 @@
 
 
 class BoundsTest(unittest.TestCase):
-    def test_without_a_bound_keys_need_no_fresh_reading(self):
+    def test_unbounded_revocation_accepts_stale_reading(self):
         fleet = Fleet(bounds=attrs.evolve(BOUNDS, revoke_s=None))
         self.addCleanup(fleet.stop)
         fleet.daemons[0].freshness.confirmed_at -= 1000.0
         self.assertEqual(fleet.ask("/safe/x").status, 200)
 
 
-def count_own_news(feeds):
-    """Return a list to which each read of the store that brings something is added."""
-    found, take_in = [], feeds.take_in
+def collect_direct_reads(feeds):
+    """Return a list that collects each direct read of the store with new records."""
+    found, apply_reading = [], feeds.apply_reading
 
     def wrapped(feed, reading):
         if reading.records and reading.arrival.source == STORE:
             found.append(feed)
-        take_in(feed, reading)
+        apply_reading(feed, reading)
 
-    feeds.take_in = wrapped
+    feeds.apply_reading = wrapped
     return found
 
 
 class SilentReaderTest(unittest.TestCase):
-    def test_a_reader_that_hears_nothing_of_the_store_keeps_nobody_from_news(self):
-        # One reader's channel to the store goes silent, unnoticed for two
-        # seconds. An engine leaves meanwhile; requests sent to it later than the
-        # drain bound would be lost. The other reader has the news, also for the first.
+    def test_silent_reader_does_not_delay_changes(self):
+        # One reader's connection to the store goes silent, undetected for two seconds. An
+        # engine drains meanwhile; requests sent to it after the drain bound would be lost.
+        # The other reader has the change, also for the first one.
         fleet = Fleet(gateways=4)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 2)
@@ -318,15 +317,15 @@
         self.assertEqual(len(readers), 2)
         readers[0].store.follow = lambda *_: gevent.sleep(60.0)
         gevent.sleep(1.0)
-        own_news = count_own_news(readers[0].feeds)
+        direct_reads = collect_direct_reads(readers[0].feeds)
         fleet.publish(make_desired(7))
         fleet.wait(lambda: all(d.state.desired.version == 7 for d in fleet.daemons), 1.5)
-        self.assertEqual(own_news, [])
+        self.assertEqual(direct_reads, [])
 
-    def test_two_readers_that_hear_nothing_keep_nobody_from_news_for_long(self):
-        # Both readers are cut off from the store at the same moment, without a
-        # reset. A key is taken away meanwhile; a host that is well must have
-        # that in force within two seconds.
+    def test_two_silent_readers_delay_changes_within_bound(self):
+        # Both readers are cut off from the store at the same time, without a connection
+        # reset. A key is revoked meanwhile; a healthy host must have the change in force
+        # within two seconds.
         fleet = Fleet(gateways=5)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 3)
@@ -339,79 +338,81 @@
 
 
 class SupersededVersionsTest(unittest.TestCase):
-    """A read that was cut counted as the log's end: revoked keys served, new routes denied."""
+    """A truncated read counted as current: revoked keys were served, new routes denied."""
 
     def setUp(self):
         self.fleet = Fleet()
         self.addCleanup(self.fleet.stop)
         self.daemon = self.fleet.daemons[0]
 
-    def publish_while_a_read_is_held(self, versions):
+    def publish_while_read_is_blocked(self, versions):
         """Publish versions of 0.8 MB so that one read finds them all."""
         rows = make_rows(4000)
         states = [make_state(version, rows) for version in versions]
-        follow, held = self.daemon.store.follow, gevent.event.Event()
+        follow, unblock = self.daemon.store.follow, gevent.event.Event()
 
-        def hold(feed, offset, wait_s):
+        def blocked_follow(feed, offset, wait_s):
             if feed is Feed.OPERATORS:
-                held.wait()
+                unblock.wait()
             return follow(feed, offset, wait_s)
 
-        self.daemon.store.follow = hold
-        gevent.sleep(0.8)  # the read that waits at the store ends
+        self.daemon.store.follow = blocked_follow
+        gevent.sleep(0.8)  # until the read that is waiting at the store returns
         for state in states:
             self.fleet.store.put("keyed.op", "config", state)
-        return held
+        return unblock
 
-    def test_a_read_that_ends_short_of_the_log_s_end_is_no_fresh_reading(self):
-        held = self.publish_while_a_read_is_held([11, 12, 13])
+    def test_truncated_read_does_not_confirm_freshness(self):
+        unblock = self.publish_while_read_is_blocked([11, 12, 13])
         published_at = self.daemon.now()
-        held.set()
+        unblock.set()
         self.fleet.wait(lambda: self.daemon.state.desired.version > 1)
         while self.daemon.state.desired.version < 13:
             self.assertLess(self.daemon.freshness.confirmed_at, published_at)
             gevent.sleep(0.0)
         self.fleet.wait(lambda: self.daemon.freshness.confirmed_at > published_at)
 
-    def test_versions_that_are_superseded_are_not_read_one_by_one(self):
-        held = self.publish_while_a_read_is_held(range(11, 19))
+    def test_superseded_versions_are_skipped(self):
+        unblock = self.publish_while_read_is_blocked(range(11, 19))
         reads = self.fleet.store.reads["keyed.op"]
-        held.set()
+        unblock.set()
         self.fleet.wait(lambda: self.daemon.state.desired.version == 18)
-        # A link of 10 Mbit/s needs 0.7 s for each of these versions, and others follow:
-        # read one by one, the newest is in force seconds late. One read finds that
-        # there is more, the next brings the newest.
+        # A link of 10 Mbit/s needs 0.7 s for each of these versions, and more follow: read
+        # one by one, the newest would take effect seconds late. One read finds that there
+        # is more, and the next returns the newest.
         self.assertLessEqual(self.fleet.store.reads["keyed.op"] - reads, 2)
 
 
-class OldLeaseReadingTest(unittest.TestCase):
-    def test_peers_of_a_reader_that_lags_in_the_lease_only_go_on_asking_it(self):
-        # One reader cannot read the lease's log. Were its answers taken for useless,
-        # all daemons would read the store themselves, and its limit of calls would
-        # turn keys' readings away. Nor must it answer at once, again and again.
+class StaleLeaseReadingTest(unittest.TestCase):
+    def test_reader_with_stale_lease_only_is_still_polled(self):
+        # One reader cannot read the lease feed. If its answers counted as failed, all
+        # daemons would read the store directly, and its rate limit would refuse the reads
+        # that keys depend on. The reader must not answer every poll immediately either.
         fleet = Fleet(gateways=3)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: any(not d.feeds.reads_directly for d in fleet.daemons))
         reader = next(d for d in fleet.daemons if d.membership.is_reader)
-        asker = next(d for d in fleet.daemons if not d.feeds.reads_directly)
+        polling_daemon = next(d for d in fleet.daemons if not d.feeds.reads_directly)
         follow = reader.store.follow
         reader.store.follow = lambda feed, *rest: (
             gevent.sleep(60.0) if feed is Feed.LEASE else follow(feed, *rest)
         )
-        gevent.sleep(2.2)  # the read that waits at the store ends
+        gevent.sleep(2.2)  # until the read that is waiting at the store returns
         lease = reader.feeds.relay.feeds[Feed.LEASE]
         lease.failing, lease.read_at, lease.heard_at = True, float("-inf"), float("-inf")
-        started = asker.now()
-        answer = asker.feeds.asker.ask(str(reader.feeds.peer_answers.server.address))
+        started = polling_daemon.now()
+        answer = polling_daemon.feeds.poller.poll(
+            str(reader.feeds.peer_responder.server.address)
+        )
         self.assertNotIn(Feed.LEASE, answer.feeds)
-        self.assertEqual(asker.feeds.asker.take_in_answer("peer", answer, started), "")
-        self.assertGreater(asker.now() - started, 0.1)
+        self.assertEqual(polling_daemon.feeds.poller.apply_answer("peer", answer, started), "")
+        self.assertGreater(polling_daemon.now() - started, 0.1)
 
 
-class OwnFaultTest(unittest.TestCase):
-    def test_a_fault_of_ours_is_answered(self):
-        # A decision raises. The caller gets an answer that promises nothing
-        # instead of a connection that ends, and the daemon goes on.
+class InternalErrorTest(unittest.TestCase):
+    def test_internal_error_is_answered(self):
+        # The choice of a target raises. The caller gets an answer that does not say whether
+        # the request ran, instead of a closed connection, and the daemon keeps running.
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         daemon = fleet.daemons[0]
@@ -420,7 +421,7 @@
         daemon.choose = choose
         self.assertEqual(fleet.ask("/safe/x").status, 200)
 
-    def test_a_refusal_for_want_of_a_reading_fits_the_caller_s_time(self):
+    def test_retry_after_of_stale_reading_fits_deadline(self):
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         fleet.store.down = True
@@ -432,10 +433,10 @@
 
 
 class OverloadTest(unittest.TestCase):
-    def test_a_refused_prompt_is_answered_at_once_and_reaches_no_engine(self):
-        # The engines are seconds behind. The daemon refuses most prompts; such a
-        # caller hears so at once, with a time to come back, and nothing has run.
-        # Requests that bring no prompt are not refused for it.
+    def test_shed_prompt_is_refused_immediately(self):
+        # The engines have a backlog of seconds, and the daemon sheds most prompts. Their
+        # callers are refused immediately with a time to retry, and nothing has run.
+        # Requests without a prompt are not shed.
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         daemon = fleet.daemons[0]
@@ -450,9 +451,9 @@
         self.assertEqual(fleet.ask("/unsafe/b", request_id="r2").status, 200)
         self.assertIn(b"agaterail_refusal_chance 1.0", daemon.metrics.text(daemon))
 
-    def test_prompts_that_are_answered_or_left_wait_no_longer(self):
-        # Each prompt's wait must end with it, or the daemon would take long gone
-        # callers for a queue and refuse for ever.
+    def test_finished_and_abandoned_prompts_leave_the_queue(self):
+        # Each prompt must leave the queue when it ends. Otherwise the daemon would count
+        # disconnected callers as a queue and refuse prompts forever.
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         shedder = fleet.daemons[0].shedder_of(LLM)
@@ -466,9 +467,9 @@
 
 
 class IsolationTest(unittest.TestCase):
-    def test_an_isolated_workspace_shares_no_cached_part(self):
-        # Two workspaces send the same prompt. In one scope the engine would
-        # answer one from what it read for the other.
+    def test_isolated_workspace_shares_no_cache(self):
+        # Two workspaces send the same prompt. In a shared scope the engine would reuse the
+        # cache of one workspace for the other.
         fleet = Fleet()
         self.addCleanup(fleet.stop)
         desired = make_desired(2)
