--- a/agaterail/application.py
+++ b/agaterail/application.py
@@ -26,7 +26,7 @@
 from agaterail.peers.memory import MemoryNetwork, MemoryTransport
 from agaterail.services.http import HttpService
 from agaterail.tables import NO_VERSION, Tables
-from agaterail.targets import TargetBook
+from agaterail.targets import TargetStateTable
 from agaterail.timers import GeventTimerService
 from agaterail.transfers import ExportQueue, ImportLimits
 from agaterail.util.address import Address
@@ -115,7 +115,7 @@
         self.members = MemberView(self.peers.own_address)
         self.events = EventBus()
         self.tables = Tables()
-        self.targets = TargetBook()
+        self.targets = TargetStateTable()
         self.homes = HomeMap(self.peers.own_address)
         self.kv_store = _kv_store(settings)
         self.imports = ImportLimits()
--- a/agaterail/cmd/serve.py
+++ b/agaterail/cmd/serve.py
@@ -87,7 +87,7 @@
     stopping.wait()
     drain = app.controllers[DrainController.name]
     assert isinstance(drain, DrainController)
-    drain.closers.append(server.stop_accepting)
+    drain.close_callbacks.append(server.stop_accepting)
     drain.begin()
     drain.done.wait()
     app.stop()
--- a/agaterail/cmd/tables.py
+++ b/agaterail/cmd/tables.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
 
-    from agaterail.fold import Folded
+    from agaterail.fold import FoldResult
     from agaterail.logstore import LogStore
     from agaterail.records import Change
 
@@ -118,7 +118,7 @@
         if step.adopted:
             through = reader.tables.through
             print(f"Starts from a snapshot through offset {through}.", file=sys.stderr)
-        _print(line(judged) for judged in step.judged)
+        _print(line(judged) for judged in step.records)
         if step.at_end:
             return 0
 
@@ -131,7 +131,9 @@
     in_parts: bool,
     pause: Callable[[float], None],
 ) -> int:
-    parts: Sequence[Sequence[Change]] = editing.parts_of(changes) if in_parts else [changes]
+    parts: Sequence[Sequence[Change]] = (
+        editing.split_changes(changes) if in_parts else [changes]
+    )
     for number, part in enumerate(parts, 1):
         edit = Edit(
             edit_id=secrets.token_hex(EDIT_ID_BYTES), author=author, changes=tuple(part)
@@ -144,7 +146,7 @@
     return 0
 
 
-def report(edit: Edit, result: Result[Folded, SubmitFailure]) -> int:
+def report(edit: Edit, result: Result[FoldResult, SubmitFailure]) -> int:
     """Print how an edit was judged; returns the exit status."""
     if not isinstance(result, Success):
         return _report_failure(edit, result.failure())
@@ -161,7 +163,7 @@
 def _report_failure(edit: Edit, failure: SubmitFailure) -> int:
     if failure.kind is SubmitError.TOO_LARGE:
         print(
-            f"The edit has {editing.size_of(edit)} bytes and the log takes "
+            f"The edit has {editing.edit_size(edit)} bytes and the log takes "
             f"{MAX_RECORD_BYTES} at a time. Nothing was changed. With --in-parts it is "
             "applied as several edits, each all or nothing by itself.",
             file=sys.stderr,
--- a/agaterail/controllers/claims.py
+++ b/agaterail/controllers/claims.py
@@ -32,17 +32,17 @@
 
 logger = logs.get_logger("claims")
 
-GROUP_S = 0.015
-HAND_GROUP_S = 0.005
-FIRST_RETRY_S = 0.05
-MAX_RETRY_S = 5.0
+BATCH_DELAY_S = 0.015
+FORWARD_BATCH_DELAY_S = 0.005
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 5.0
 READ_LIMIT = 1000
-FOLLOW_WAIT_S = 2.0
+FOLLOW_LONG_POLL_S = 2.0
 FOLLOW_PERIOD_S = 0.05
-HAND_WAIT_S = 0.5
-HAND_TIMEOUT_S = 0.8
+FORWARD_VERDICT_WAIT_S = 0.5
+FORWARD_TIMEOUT_S = 0.8
 STATUS_TIMEOUT_S = 0.2
-IDLE_STEPS = 60
+MAX_IDLE_STEPS = 60
 
 
 @peer_message
@@ -88,8 +88,8 @@
         self.listeners: dict[str, list[Callable[[Verdict], None]]] = {}
         self.scheduled = False
         self.flushing = False
-        self.retry_s = FIRST_RETRY_S
-        self.following: Subscription | None = None
+        self.backoff_s = INITIAL_BACKOFF_S
+        self.follow_subscription: Subscription | None = None
         self.idle_steps = 0
 
     def submit(self, claim: Claim, listener: Callable[[Verdict], None]) -> None:
@@ -98,27 +98,27 @@
             listener(Verdict(attempt=claim.attempt, kind=VerdictKind.UNAVAILABLE))
             return
         self.listeners.setdefault(claim.attempt, []).append(listener)
-        self.schedule(GROUP_S)
+        self.schedule(BATCH_DELAY_S)
 
     def release(self, release: Release) -> None:
         """Queue the release of an attempt that will not run."""
         self.queue.abandon(release.attempt)
         self.listeners.pop(release.attempt, None)
         self.queue.release(release)
-        self.schedule(GROUP_S)
+        self.schedule(BATCH_DELAY_S)
 
     def finish(self, finish: Finish) -> None:
         """Queue the outcome of an attempt."""
         self.queue.finish(finish)
-        self.schedule(GROUP_S)
+        self.schedule(BATCH_DELAY_S)
 
     def set_following(self, wanted: bool) -> None:
         """Read new records as they come, or stop to."""
-        if wanted and self.following is None:
-            self.following = self.timers.every(FOLLOW_PERIOD_S, self._follow)
-        if not wanted and self.following is not None:
-            self.following.cancel()
-            self.following = None
+        if wanted and self.follow_subscription is None:
+            self.follow_subscription = self.timers.every(FOLLOW_PERIOD_S, self._follow)
+        if not wanted and self.follow_subscription is not None:
+            self.follow_subscription.cancel()
+            self.follow_subscription = None
 
     def schedule(self, delay_s: float) -> None:
         """Flush after a delay, in which more entries join the batch."""
@@ -149,14 +149,16 @@
                 self.queue.on_appended()
             else:
                 failed = True
-                self._tell(self.queue.on_append_failed(appended.failure().kind))
+                self._notify_listeners(self.queue.on_append_failed(appended.failure().kind))
         if not self._read(0.0):
             failed = True
-        self.retry_s = min(MAX_RETRY_S, self.retry_s * 2) if failed else FIRST_RETRY_S
-        return self.retry_s if failed else GROUP_S
+        self.backoff_s = (
+            min(MAX_BACKOFF_S, self.backoff_s * 2) if failed else INITIAL_BACKOFF_S
+        )
+        return self.backoff_s if failed else BATCH_DELAY_S
 
     def _follow(self) -> None:
-        self._read(FOLLOW_WAIT_S)
+        self._read(FOLLOW_LONG_POLL_S)
 
     def _read(self, wait_s: float) -> bool:
         while True:
@@ -164,19 +166,21 @@
             read = self.log_store.read(self.stream, offset, READ_LIMIT, wait_s)
             if not isinstance(read, Success):
                 return False
-            found: LogSlice = read.unwrap()
-            if not found.records:
+            log_slice: LogSlice = read.unwrap()
+            if not log_slice.records:
                 return True
-            self._tell(self.queue.on_records([_decode(record) for record in found.records]))
+            self._notify_listeners(
+                self.queue.on_records([_decode(record) for record in log_slice.records])
+            )
             wait_s = 0.0
 
-    def _tell(self, verdicts: list[Verdict]) -> None:
+    def _notify_listeners(self, verdicts: list[Verdict]) -> None:
         for verdict in verdicts:
             for listener in self.listeners.pop(verdict.attempt, ()):
                 listener(verdict)
 
 
-class OwnerLink:
+class OwnerForwarder:
     """Hands entries to the owner of their partitions, one call at a time."""
 
     def __init__(self, controller: ClaimsController, owner: str) -> None:
@@ -191,7 +195,7 @@
         """Send soon; entries that come meanwhile join the message."""
         if not self.scheduled:
             self.scheduled = True
-            self.controller.app.timers.after(HAND_GROUP_S, self._send)
+            self.controller.app.timers.after(FORWARD_BATCH_DELAY_S, self._send)
 
     def _send(self) -> None:
         tickets, self.tickets = self.tickets, []
@@ -203,7 +207,7 @@
             claims=tuple(ticket.claim for ticket in tickets),
         )
         answered = self.controller.app.peers.call(
-            self.owner, HandClaims(batch), HAND_TIMEOUT_S
+            self.owner, HandClaims(batch), FORWARD_TIMEOUT_S
         )
         self.scheduled = False
         if self.tickets or self.releases or self.finishes:
@@ -222,7 +226,7 @@
             if verdict is None or verdict.kind is VerdictKind.UNAVAILABLE:
                 # The owner may have appended the claim all the same. The fold
                 # takes the first copy, so following the partition here is safe.
-                self.controller.claim_here(ticket)
+                self.controller.claim_locally(ticket)
             else:
                 ticket.settle(verdict)
 
@@ -259,24 +263,24 @@
         # done when they change and not at each step or claim.
         self.owners = claims.owners(())
         self.workers: dict[int, PartitionWorker] = {}
-        self.links: dict[str, OwnerLink] = {}
+        self.forwarders: dict[str, OwnerForwarder] = {}
         self.running: set[str] = set()
         app.events.subscribe(MembersChanged, self._on_members)
-        app.peers.handle(HandClaims, self._on_hand)
-        app.peers.handle(AttemptQuery, self._on_query)
+        app.peers.handle(HandClaims, self._on_forwarded_claims)
+        app.peers.handle(AttemptQuery, self._on_attempt_query)
 
     def reconcile(self) -> None:
         """Follow the owned partitions and drop idle ones."""
         address = self.app.peers.own_address
-        own = {number for number, owner in enumerate(self.owners) if owner == address}
-        for number in own:
+        owned = {number for number, owner in enumerate(self.owners) if owner == address}
+        for number in owned:
             self._worker(number).set_following(True)
         for number, worker in list(self.workers.items()):
-            if number in own:
+            if number in owned:
                 continue
             worker.set_following(False)
             worker.idle_steps += 1
-            if worker.queue.idle and worker.idle_steps > IDLE_STEPS:
+            if worker.queue.idle and worker.idle_steps > MAX_IDLE_STEPS:
                 del self.workers[number]
 
     def status(self) -> dict[str, Any]:
@@ -290,8 +294,12 @@
     @property
     def idle(self) -> bool:
         """Tell whether all outcomes and releases have been written."""
-        links = all(not (item.releases or item.finishes) for item in self.links.values())
-        return links and not any(item.queue.has_work for item in self.workers.values())
+        forwarders_idle = all(
+            not (item.releases or item.finishes) for item in self.forwarders.values()
+        )
+        return forwarders_idle and not any(
+            item.queue.has_work for item in self.workers.values()
+        )
 
     def claim(self, claim: Claim, timeout_s: float) -> Verdict | None:
         """Claim a key and wait for the verdict; None when it did not come in time.
@@ -302,11 +310,11 @@
         ticket = WaitingTicket(claim)
         owner = self.owners[claims.partition_of(claim.key)]
         if owner in (None, self.app.peers.own_address):
-            self.claim_here(ticket)
+            self.claim_locally(ticket)
         else:
-            link = self._link(str(owner))
-            link.tickets.append(ticket)
-            link.schedule()
+            forwarder = self._forwarder(str(owner))
+            forwarder.tickets.append(ticket)
+            forwarder.schedule()
         ticket.done.wait(timeout_s)
         ticket.abandon()
         verdict = ticket.verdict
@@ -318,7 +326,7 @@
             self.running.add(claim.attempt)
         return verdict
 
-    def claim_here(self, ticket: Ticket) -> None:
+    def claim_locally(self, ticket: Ticket) -> None:
         """Claim through this daemon's own reading of the partition."""
         if ticket.settled:
             return
@@ -329,25 +337,25 @@
     def release(self, release: Release) -> None:
         """Write that an attempt did not and will not run."""
         self.running.discard(release.attempt)
-        link = self._owner_link(release.key)
+        forwarder = self._owner_forwarder(release.key)
         # The own queue may hold a copy of the claim; it must not be appended.
-        if link is None or release.attempt in self.worker_of(release.key).queue.waiting:
+        if forwarder is None or release.attempt in self.worker_of(release.key).queue.waiting:
             self.worker_of(release.key).release(release)
             return
-        link.releases.append(release)
-        link.schedule()
+        forwarder.releases.append(release)
+        forwarder.schedule()
 
     def finish(self, finish: Finish) -> None:
         """Write how an attempt ended."""
         self.running.discard(finish.attempt)
-        link = self._owner_link(finish.key)
-        if link is None:
+        forwarder = self._owner_forwarder(finish.key)
+        if forwarder is None:
             self.worker_of(finish.key).finish(finish)
             return
-        link.finishes.append(finish)
-        link.schedule()
+        forwarder.finishes.append(finish)
+        forwarder.schedule()
 
-    def runs(self, holder: str, attempt: str) -> bool:
+    def is_running(self, holder: str, attempt: str) -> bool:
         """Ask a claimer whether it still runs an attempt; no answer means no."""
         answer = self.app.peers.query(holder, AttemptQuery(attempt), STATUS_TIMEOUT_S)
         status = answer.value_or(None)
@@ -364,43 +372,43 @@
             self.workers[number] = worker
         return worker
 
-    def _link(self, owner: str) -> OwnerLink:
-        link = self.links.get(owner)
-        if link is None:
-            link = self.links[owner] = OwnerLink(self, owner)
-        return link
+    def _forwarder(self, owner: str) -> OwnerForwarder:
+        forwarder = self.forwarders.get(owner)
+        if forwarder is None:
+            forwarder = self.forwarders[owner] = OwnerForwarder(self, owner)
+        return forwarder
 
-    def _owner_link(self, key: bytes) -> OwnerLink | None:
+    def _owner_forwarder(self, key: bytes) -> OwnerForwarder | None:
         owner = self.owners[claims.partition_of(key)]
         if owner in (None, self.app.peers.own_address):
             return None
-        return self._link(str(owner))
+        return self._forwarder(str(owner))
 
     def _on_members(self, event: MembersChanged) -> None:
         self.owners = claims.owners(event.members)
 
-    def _on_query(self, _sender: str, query: AttemptQuery) -> AttemptStatus:
+    def _on_attempt_query(self, _sender: str, query: AttemptQuery) -> AttemptStatus:
         return AttemptStatus(query.attempt in self.running)
 
-    def _on_hand(self, _sender: str, message: HandClaims) -> ClaimVerdicts:
+    def _on_forwarded_claims(self, _sender: str, message: HandClaims) -> ClaimVerdicts:
         for finish in message.batch.finishes:
             self.worker_of(finish.key).finish(finish)
         for release in message.batch.releases:
             self.worker_of(release.key).release(release)
-        found: list[Verdict] = []
-        wanted = len(message.batch.claims)
+        verdicts: list[Verdict] = []
+        expected = len(message.batch.claims)
         done = Event()
 
         def on_verdict(verdict: Verdict) -> None:
-            found.append(verdict)
-            if len(found) >= wanted:
+            verdicts.append(verdict)
+            if len(verdicts) >= expected:
                 done.set()
 
         for claim in message.batch.claims:
             self.worker_of(claim.key).submit(claim, on_verdict)
-        if wanted:
-            done.wait(HAND_WAIT_S)
-        return ClaimVerdicts(tuple(found))
+        if expected:
+            done.wait(FORWARD_VERDICT_WAIT_S)
+        return ClaimVerdicts(tuple(verdicts))
 
 
 def _settle(ticket: Ticket, verdict: Verdict) -> None:
--- a/agaterail/controllers/drain.py
+++ b/agaterail/controllers/drain.py
@@ -27,8 +27,8 @@
 
 logger = logs.get_logger("drain")
 
-RECORDS_LIMIT_S = 5.0
-TOLD_PEERS = 16
+RECORD_FLUSH_LIMIT_S = 5.0
+MAX_NOTIFIED_PEERS = 16
 REFUSAL = "refusal"
 
 
@@ -60,7 +60,7 @@
     ----------
     done
         Set when the process may exit.
-    closers
+    close_callbacks
         Called when new connections are no longer wanted.
     """
 
@@ -73,7 +73,7 @@
         self.started_at = 0.0
         self.finished_at: float | None = None
         self.done = Event()
-        self.closers: list[Callable[[], None]] = []
+        self.close_callbacks: list[Callable[[], None]] = []
 
     def begin(self) -> None:
         """Start to drain."""
@@ -90,22 +90,22 @@
         settings, now = self.app.settings, self.app.timers.now()
         lag_over_at = self.started_at + settings.drain_lag_s
         if self.state is DrainState.LAGGING and now >= lag_over_at:
-            self._close()
+            self._stop_accepting()
         if self.state is DrainState.FINISHING:
             limit_at = lag_over_at + settings.drain_limit_s
-            if now >= limit_at or self._finished(now):
-                self._end()
+            if now >= limit_at or self._is_finished(now):
+                self._complete()
 
     def status(self) -> dict[str, Any]:
         """Return the state."""
         return {"state": self.state.value}
 
-    def _close(self) -> None:
+    def _stop_accepting(self) -> None:
         self.state = DrainState.FINISHING
-        for closer in self.closers:
-            closer()
+        for callback in self.close_callbacks:
+            callback()
 
-    def _finished(self, now: float) -> bool:
+    def _is_finished(self, now: float) -> bool:
         if self.app.in_flight:
             return False
         if self.finished_at is None:
@@ -114,9 +114,9 @@
         # be told "unknown" for as long as the key is remembered.
         claims = self.app.controllers[ClaimsController.name]
         assert isinstance(claims, ClaimsController)
-        return claims.idle or now >= self.finished_at + RECORDS_LIMIT_S
+        return claims.idle or now >= self.finished_at + RECORD_FLUSH_LIMIT_S
 
-    def _end(self) -> None:
+    def _complete(self) -> None:
         self.state = DrainState.DONE
         logger.info("Drained.", in_flight=self.app.in_flight)
         self.done.set()
@@ -140,7 +140,7 @@
         return proceed(exchange)
 
 
-class LeavingTargets:
+class LeavingTargetTracker:
     """Takes a target's refusal and the peers' word as signs that it leaves."""
 
     def __init__(self, app: Application, seed: int | None = None) -> None:
@@ -159,8 +159,8 @@
             return
         logger.info("Target refuses.", target=event.address, source=event.source)
         others = [item for item in self.members if item != self.app.peers.own_address]
-        told = self.random.sample(others, min(TOLD_PEERS, len(others)))
-        for member in told:
+        notified = self.random.sample(others, min(MAX_NOTIFIED_PEERS, len(others)))
+        for member in notified:
             self.app.peers.notify(member, TargetLeavingNotice(event.address))
 
     def _on_notice(self, _sender: str, notice: TargetLeavingNotice) -> None:
@@ -175,4 +175,4 @@
     controller = DrainController(app)
     app.add_controller(controller)
     app.add_filter(ShutdownFilter(controller))
-    LeavingTargets(app)
+    LeavingTargetTracker(app)
--- a/agaterail/controllers/homes.py
+++ b/agaterail/controllers/homes.py
@@ -71,25 +71,25 @@
         """Fetch the contents when they are needed and due, then events and load."""
         if self.index.needs_contents and self.timers.now() >= self.contents_due_at:
             self._fetch_contents()
-        asked_at = self.timers.now()
+        requested_at = self.timers.now()
         fetched = self.engine.events(self.index.sequence, 0.0)
         if isinstance(fetched, Success):
             batch = fetched.unwrap()
-            known = self.index.incarnation
-            self.index.on_events(batch, asked_at, self.timers.now())
+            previous_incarnation = self.index.incarnation
+            self.index.on_events(batch, requested_at, self.timers.now())
             if batch.load is not None:
-                self._on_load(batch.load, asked_at)
-            self._note_restart(known)
+                self._on_load(batch.load, requested_at)
+            self._handle_restart(previous_incarnation)
         self.index.expire(self.timers.now())
         self.load.expire(self.timers.now())
 
-    def _on_load(self, report: LoadReport, asked_at: float) -> None:
+    def _on_load(self, report: LoadReport, requested_at: float) -> None:
         # A report of a dead incarnation may still arrive, from before the
         # crash; it must not bring the old queue back.
-        if self.index.on_incarnation(report.incarnation, asked_at, self.timers.now()):
+        if self.index.on_incarnation(report.incarnation, requested_at, self.timers.now()):
             self.index.on_weights(report.weights_version)
             self.index.set_capacity(report.capacity_blocks)
-            self.load.on_report(report, asked_at)
+            self.load.on_report(report, requested_at)
 
     def on_dispatch(self, notice: DispatchNotice) -> None:
         """Count a dispatch and expect its blocks."""
@@ -122,14 +122,14 @@
         )
 
     def _fetch_contents(self) -> None:
-        asked_at = self.timers.now()
+        requested_at = self.timers.now()
         fetched = self.engine.contents()
         if not isinstance(fetched, Success):
             return
         contents = fetched.unwrap()
-        known = self.index.incarnation
-        taken = self.index.on_contents(contents, asked_at, self.timers.now())
-        self._note_restart(known)
+        previous_incarnation = self.index.incarnation
+        taken = self.index.on_contents(contents, requested_at, self.timers.now())
+        self._handle_restart(previous_incarnation)
         size = len(contents.keys) * CONTENTS_BYTES_PER_KEY
         pause_s = max(MIN_CONTENTS_PERIOD_S, size / CONTENTS_BYTES_PER_S)
         self.contents_due_at = self.timers.now() + pause_s
@@ -137,8 +137,8 @@
             "Fetched contents.", engine=self.address, keys=len(contents.keys), taken=taken
         )
 
-    def _note_restart(self, known: str) -> None:
-        if known and known != self.index.incarnation:
+    def _handle_restart(self, previous_incarnation: str) -> None:
+        if previous_incarnation and previous_incarnation != self.index.incarnation:
             self.load.on_restart()
             self.contents_due_at = self.timers.now()
             logger.info("Engine has restarted.", engine=self.address)
@@ -172,7 +172,7 @@
 
     def on_tables(self, event: TablesChanged) -> None:
         """Take the engines that the tables name."""
-        self.pools = _pools_of_engines(event.tables)
+        self.pools = _pools_by_engine(event.tables)
         self.homes.set_engines(self.pools)
         self.reconcile()
 
@@ -228,12 +228,12 @@
         logger.info("Follows an engine.", engine=address)
 
 
-def _pools_of_engines(tables: Tables) -> dict[str, Pool]:
+def _pools_by_engine(tables: Tables) -> dict[str, Pool]:
     return {
-        entry.address: held.row
-        for held in tables.pools.values()
-        if held.row.kind is PoolKind.ENGINE
-        for entry in held.row.targets
+        entry.address: versioned.row
+        for versioned in tables.pools.values()
+        if versioned.row.kind is PoolKind.ENGINE
+        for entry in versioned.row.targets
     }
 
 
--- a/agaterail/controllers/leases.py
+++ b/agaterail/controllers/leases.py
@@ -23,7 +23,7 @@
 logger = logs.get_logger("leases")
 
 LEASE_KEY = b"orders"
-CANDIDATES = 3
+MAX_CANDIDATES = 3
 NONCE_BYTES = 8
 
 
@@ -41,7 +41,7 @@
     def __init__(self, app: Application) -> None:
         self.app = app
         own = app.peers.own_address
-        self.rank: int | None = rank_of(own, ())
+        self.rank: int | None = candidate_rank(own, ())
         self.keeper = LeaseKeeper(
             f"{own}/{secrets.token_hex(NONCE_BYTES)}", lambda: secrets.token_hex(NONCE_BYTES)
         )
@@ -86,9 +86,9 @@
         if not isinstance(read, Success):
             self.keeper.caught_up = False
             return False
-        part: LogSlice = read.unwrap()
+        log_slice: LogSlice = read.unwrap()
         now = self.app.timers.now()
-        for record in part.records:
+        for record in log_slice.records:
             gap = record.offset != self.next_offset
             self.next_offset = record.offset + 1
             decoded = codec.decode(record.data, LeaseRecord)
@@ -96,19 +96,19 @@
                 self.keeper.observe(decoded.unwrap(), record.offset, now, gap)
             else:
                 self.keeper.skip(record.offset, now)
-        if self.next_offset < part.first:
-            self.next_offset = part.end
-            self.keeper.skip(part.end - 1, now)
-        self.keeper.caught_up = self.next_offset >= part.end
+        if self.next_offset < log_slice.first:
+            self.next_offset = log_slice.end
+            self.keeper.skip(log_slice.end - 1, now)
+        self.keeper.caught_up = self.next_offset >= log_slice.end
         return self.keeper.caught_up
 
     def _on_members(self, event: MembersChanged) -> None:
-        self.rank = rank_of(self.app.peers.own_address, event.members)
+        self.rank = candidate_rank(self.app.peers.own_address, event.members)
 
 
-def rank_of(own: str, members: Sequence[str]) -> int | None:
+def candidate_rank(own: str, members: Sequence[str]) -> int | None:
     """Return a daemon's place among the candidates for the lease, or None."""
-    order = rendezvous.ranked(LEASE_KEY, {*members, own}, CANDIDATES)
+    order = rendezvous.ranked(LEASE_KEY, {*members, own}, MAX_CANDIDATES)
     return order.index(own) if own in order else None
 
 
--- a/agaterail/controllers/rollout.py
+++ b/agaterail/controllers/rollout.py
@@ -33,13 +33,13 @@
 logger = logs.get_logger("rollout")
 
 ORDER_TIMEOUT_S = 2.0
-READS_PER_STEP = 8
-PARALLEL_READS = 8
+SETTLED_READS_PER_STEP = 8
+MAX_PARALLEL_READS = 8
 PROBE_DEADLINE_MS = 5000
 PROBE_WORKSPACE = "agaterail-probe"
 PROBE_PREFIX = "probe-"
 ID_BYTES = 8
-OK = 200
+HTTP_OK = 200
 
 
 @attrs.frozen(kw_only=True)
@@ -69,9 +69,9 @@
         self.engines: dict[str, EngineView] = {}
         self.halted: dict[Revision, str] = {}
         self.fencing = NO_VERSION
-        self.orders_from = 0.0
+        self.orders_allowed_at = 0.0
         self.halts_offset = 0
-        self.sweep = 0
+        self.next_settled = 0
 
     def reconcile(self) -> None:
         """Take one step of the rollouts, or forget them without the lease."""
@@ -83,12 +83,12 @@
             self._take_over(now)
         if not self._read_halts():
             return
-        pools = self._pools()
-        self._read_back(pools)
-        if self.app.timers.now() < self.orders_from:
+        pools = self._rollout_pools()
+        self._read_states(pools)
+        if self.app.timers.now() < self.orders_allowed_at:
             return
         for step in plan(pools, self.engines, frozenset(self.halted), self.app.timers.now()):
-            if not self._take(step):
+            if not self._execute(step):
                 return
 
     def status(self) -> dict[str, Any]:
@@ -104,59 +104,59 @@
         # it cannot arrive after this holder's first one.
         self.engines = {}
         self.fencing = self.leases.keeper.view.fencing
-        self.orders_from = now + ORDER_TIMEOUT_S
+        self.orders_allowed_at = now + ORDER_TIMEOUT_S
         logger.info("Took over the orders.", fencing=self.fencing)
 
-    def _pools(self) -> list[Versioned[Pool]]:
+    def _rollout_pools(self) -> list[Versioned[Pool]]:
         now = self.app.timers.now()
         pools = [
-            held
-            for held in self.app.tables.pools.values()
-            if held.row.kind is PoolKind.ENGINE and held.row.weights_version
+            versioned
+            for versioned in self.app.tables.pools.values()
+            if versioned.row.kind is PoolKind.ENGINE and versioned.row.weights_version
         ]
-        for held in pools:
-            for entry in held.row.targets:
+        for versioned in pools:
+            for entry in versioned.row.targets:
                 self.engines.setdefault(entry.address, EngineView(known_at=now))
         return pools
 
-    def _read_back(self, pools: list[Versioned[Pool]]) -> None:
-        readers = GreenletPool(PARALLEL_READS)
-        due = self._due(pools)
+    def _read_states(self, pools: list[Versioned[Pool]]) -> None:
+        readers = GreenletPool(MAX_PARALLEL_READS)
+        due = self._engines_to_read(pools)
         reads = readers.map(lambda address: self.app.engine_at(address).state(), due)
         for address, read in zip(due, reads, strict=True):
             view = self.engines[address]
             take_in(view, read.value_or(None), self.app.timers.now())
 
-    def _due(self, pools: list[Versioned[Pool]]) -> list[str]:
+    def _engines_to_read(self, pools: list[Versioned[Pool]]) -> list[str]:
         # Engines that are not where they should be are read at each step; the
         # others in turn, so that a stray order is found without 600 reads a
         # step.
         unsettled: list[str] = []
         settled: list[str] = []
-        for held in pools:
-            desired = DesiredState.of(held.row)
-            for entry in held.row.targets:
+        for versioned in pools:
+            desired = DesiredState.of(versioned.row)
+            for entry in versioned.row.targets:
                 verified = self.engines[entry.address].verified(desired)
                 (settled if verified else unsettled).append(entry.address)
-        count = min(READS_PER_STEP, len(settled))
-        start = self.sweep
-        self.sweep += count
+        count = min(SETTLED_READS_PER_STEP, len(settled))
+        start = self.next_settled
+        self.next_settled += count
         return unsettled + [settled[(start + step) % len(settled)] for step in range(count)]
 
-    def _take(self, step: Step) -> bool:
+    def _execute(self, step: Step) -> bool:
         if self.leases.keeper.remaining_s(self.app.timers.now()) <= ORDER_TIMEOUT_S:
             # An order that is still in flight when the lease ends could cross
             # the next holder's orders.
             return False
         if step.kind is StepKind.ORDER:
-            self._order(step)
+            self._send_order(step)
         elif step.kind is StepKind.PROBE:
             self._probe(step)
         else:
             self._halt(step.revision, step.reason)
         return True
 
-    def _order(self, step: Step) -> None:
+    def _send_order(self, step: Step) -> None:
         assert step.desired is not None
         view = self.engines[step.address]
         view.ordered = step.desired
@@ -190,14 +190,14 @@
         assert step.desired is not None
         view = self.engines[step.address]
         assert view.state is not None
-        if self._answers(step.address, step.desired):
+        if self._probe_succeeds(step.address, step.desired):
             view.probed = (view.state.incarnation, step.desired)
             logger.info("Engine passed the check.", target=step.address)
         else:
             view.failed = step.revision
             logger.warning("Engine failed the check.", target=step.address)
 
-    def _answers(self, address: str, desired: DesiredState) -> bool:
+    def _probe_succeeds(self, address: str, desired: DesiredState) -> bool:
         request_id = f"{PROBE_PREFIX}{secrets.token_hex(ID_BYTES)}"
         body = {
             "model": desired.model,
@@ -223,7 +223,7 @@
             reply.discard()
             return False
         matches = reply.weights_version == desired.weights_version
-        return reply.status == OK and reply.request_id == request_id and matches
+        return reply.status == HTTP_OK and reply.request_id == request_id and matches
 
     def _halt(self, revision: Revision, reason: str) -> None:
         self.halted[revision] = reason
@@ -235,14 +235,16 @@
         read = self.app.log_store.read(ROLLOUT_STREAM, self.halts_offset)
         if not isinstance(read, Success):
             return False
-        part = read.unwrap()
-        for record in part.records:
+        log_slice = read.unwrap()
+        for record in log_slice.records:
             decoded = codec.decode(record.data, RolloutHalted)
             if isinstance(decoded, Success):
                 halted: RolloutHalted = decoded.unwrap()
                 self.halted.setdefault(halted.revision, halted.reason)
-        self.halts_offset = part.records[-1].offset + 1 if part.records else part.end
-        return self.halts_offset >= part.end
+        self.halts_offset = (
+            log_slice.records[-1].offset + 1 if log_slice.records else log_slice.end
+        )
+        return self.halts_offset >= log_slice.end
 
 
 def setup(app: Application) -> None:
--- a/agaterail/controllers/snapshots.py
+++ b/agaterail/controllers/snapshots.py
@@ -34,7 +34,7 @@
     def reconcile(self) -> None:
         """Note what others wrote, and write if it is this daemon's turn."""
         now = self.app.timers.now()
-        self._note_marks(now)
+        self._record_newest_mark(now)
         if not self.tables.log_up or self.tables.gap or not self.tables.at_end:
             return
         if self.schedule.due(self.tables.reader.view, now):
@@ -44,7 +44,7 @@
         """Return how far the last snapshot covers the stream."""
         return {"through": self.schedule.mark_through, "written": self.written}
 
-    def _note_marks(self, now: float) -> None:
+    def _record_newest_mark(self, now: float) -> None:
         mark = self.tables.reader.newest_mark
         if mark is not None:
             self.schedule.on_mark(mark.through, now)
@@ -53,7 +53,7 @@
         tables = self.tables.reader.tables
         covered = self.schedule.mark_through
         snapshot = snapshots.encode(tables, lambda: gevent.sleep(0))
-        written = tables_reader.write(
+        written = tables_reader.write_snapshot(
             self.app.log_store, snapshot, lambda: self._superseded(covered)
         )
         now = self.app.timers.now()
--- a/agaterail/controllers/startup.py
+++ b/agaterail/controllers/startup.py
@@ -14,7 +14,7 @@
 from agaterail.controllers import Controller
 from agaterail.controllers.tables import tables_controller
 from agaterail.peers import peer_message
-from agaterail.startup import ANSWER_WAIT_S, Decision, StartUp
+from agaterail.startup import ANSWER_WAIT_S, Decision, StartupPlan
 from agaterail.tables import NO_VERSION
 
 if TYPE_CHECKING:
@@ -26,11 +26,11 @@
 
 logger = logs.get_logger("startup")
 
-PAGE_TIMEOUT_S = 2.0
-CATCH_UP_PERIOD_S = 1.0
-KEPT_SNAPSHOT_S = 10.0
-STEP_S = 0.02
-MAX_PAGES = 1024
+CHUNK_TIMEOUT_S = 2.0
+CATCH_UP_PAUSE_S = 1.0
+SNAPSHOT_CACHE_S = 10.0
+STEP_DELAY_S = 0.02
+MAX_CHUNKS = 1024
 
 
 @peer_message
@@ -74,10 +74,10 @@
     data: bytes
 
 
-NOTHING = TablesAnswer(NO_VERSION, "", 0, b"")
+NO_TABLES = TablesAnswer(NO_VERSION, "", 0, b"")
 
 
-class StartUpController(Controller):
+class StartupController(Controller):
     """Runs the start-up, and later asks peers while the log does not help."""
 
     name = "startup"
@@ -88,34 +88,34 @@
         self.tables = tables_controller(app)
         self.random = random.Random()
         self.spawn: Callable[..., object] = gevent.spawn
-        self.plan: StartUp | None = None
-        self.next_at = 0.0
-        self.kept: Snapshot | None = None
-        self.kept_until = 0.0
-        self.encoding = BoundedSemaphore()
-        self.hurrying = False
+        self.startup_plan: StartupPlan | None = None
+        self.next_catch_up_at = 0.0
+        self.cached_snapshot: Snapshot | None = None
+        self.cache_expires_at = 0.0
+        self.encode_lock = BoundedSemaphore()
+        self.step_scheduled = False
         app.peers.handle(OffsetQuery, self.on_offset_query)
         app.peers.handle(TablesQuery, self.on_tables_query)
 
     def reconcile(self) -> None:
         """Take one step, and go on in short steps until it is over."""
         self._step()
-        if self.plan is not None and not self.hurrying:
+        if self.startup_plan is not None and not self.step_scheduled:
             # A steady period this short would cost an idle daemon 0.8% of a core.
-            self.hurrying = True
-            self.app.timers.after(STEP_S, self._go_on)
+            self.step_scheduled = True
+            self.app.timers.after(STEP_DELAY_S, self._run_scheduled_step)
 
-    def _go_on(self) -> None:
-        self.hurrying = False
+    def _run_scheduled_step(self) -> None:
+        self.step_scheduled = False
         self.reconcile()
 
     def _step(self) -> None:
         now = self.app.timers.now()
-        if self.plan is None:
-            if self.tables.serving and (self._log_helps() or now < self.next_at):
+        if self.startup_plan is None:
+            if self.tables.serving and (self._log_usable() or now < self.next_catch_up_at):
                 return
-            self.plan = StartUp(self.random, now)
-        plan = self.plan
+            self.startup_plan = StartupPlan(self.random, now)
+        plan = self.startup_plan
         # A log that was just started from may be stale, so a gap or a failed
         # read is looked at anew in each step.
         plan.log.at_end = self.tables.at_end
@@ -125,13 +125,13 @@
             self._finish("log")
         elif decision is Decision.FETCH:
             self._fetch(plan)
-        elif self.tables.serving and plan.round is not None and plan.round.over(now):
+        elif self.tables.serving and plan.round is not None and plan.round.is_over(now):
             self._finish("")
         else:
             # Only after the decision: a new round forgets the answers of the
             # last one.
-            for address in plan.next_round(self._peers(), now):
-                self.spawn(self._ask, plan, address)
+            for address in plan.next_round(self._live_peers(), now):
+                self.spawn(self._query_offset, plan, address)
 
     def status(self) -> dict[str, Any]:
         """Return whether the start-up is over."""
@@ -143,89 +143,99 @@
 
     def on_tables_query(self, _sender: str, query: TablesQuery) -> TablesAnswer:
         """Answer with one chunk of the tables in force."""
-        kept = self._snapshot(query)
-        if kept is None or query.index >= len(kept.chunks):
-            return NOTHING
-        count = len(kept.chunks)
-        return TablesAnswer(kept.through, kept.digest, count, kept.chunks[query.index])
-
-    def _log_helps(self) -> bool:
+        snapshot = self._snapshot_for(query)
+        if snapshot is None or query.index >= len(snapshot.chunks):
+            return NO_TABLES
+        count = len(snapshot.chunks)
+        return TablesAnswer(
+            snapshot.through, snapshot.digest, count, snapshot.chunks[query.index]
+        )
+
+    def _log_usable(self) -> bool:
         return self.tables.log_up is True and not self.tables.gap
 
-    def _peers(self) -> tuple[str, ...] | None:
+    def _live_peers(self) -> tuple[str, ...] | None:
         members = self.app.members
         if members.listed is None and self.app.host_list is not None:
             return None
         live = members.live(self.app.timers.now())
         return tuple(address for address in live if address != members.own_address)
 
-    def _ask(self, plan: StartUp, address: str) -> None:
-        asked = plan.round
+    def _query_offset(self, plan: StartupPlan, address: str) -> None:
+        query_round = plan.round
         answer = self.app.peers.query(address, OffsetQuery(), ANSWER_WAIT_S)
-        if asked is None:
+        if query_round is None:
             return
         if isinstance(answer, Success) and isinstance(answer.unwrap(), OffsetAnswer):
-            asked.on_answer(address, answer.unwrap().through)
+            query_round.on_answer(address, answer.unwrap().through)
         else:
-            asked.on_failure(address)
+            query_round.on_failure(address)
 
-    def _fetch(self, plan: StartUp) -> None:
-        asked = plan.round
-        address = None if asked is None else asked.best
-        if asked is None or address is None:
+    def _fetch(self, plan: StartupPlan) -> None:
+        query_round = plan.round
+        address = None if query_round is None else query_round.best_peer
+        if query_round is None or address is None:
             return
-        fetched = fetch_tables(self.app, address, asked.answers[address])
+        fetched = fetch_tables(self.app, address, query_round.answers[address])
         if not isinstance(fetched, Success):
             logger.warning("Gets no tables.", peer=address, reason=fetched.failure())
-            asked.on_failure(address)
+            query_round.on_failure(address)
             return
         self.tables.adopt(fetched.unwrap(), address)
         self._finish(address)
 
     def _finish(self, source: str) -> None:
-        self.plan = None
-        self.next_at = self.app.timers.now() + CATCH_UP_PERIOD_S
+        self.startup_plan = None
+        self.next_catch_up_at = self.app.timers.now() + CATCH_UP_PAUSE_S
         if not self.tables.serving:
             self.tables.start_serving(source)
 
-    def _snapshot(self, query: TablesQuery) -> Snapshot | None:
+    def _snapshot_for(self, query: TablesQuery) -> Snapshot | None:
         # A herd that restarts asks one daemon many times; it encodes once.
-        with self.encoding:
-            kept = self.kept
+        with self.encode_lock:
+            snapshot = self.cached_snapshot
             if query.digest:
-                return kept if kept is not None and kept.digest == query.digest else None
+                return (
+                    snapshot
+                    if snapshot is not None and snapshot.digest == query.digest
+                    else None
+                )
             now = self.app.timers.now()
-            if kept is None or kept.through < query.min_through or now >= self.kept_until:
-                kept = snapshots.encode(self.app.tables, lambda: gevent.sleep(0))
-                self.kept = kept
-                self.kept_until = now + KEPT_SNAPSHOT_S
-                self.app.timers.after(2 * KEPT_SNAPSHOT_S, self._forget)
-            return kept
-
-    def _forget(self) -> None:
-        if self.app.timers.now() >= self.kept_until:
-            self.kept = None
+            if (
+                snapshot is None
+                or snapshot.through < query.min_through
+                or now >= self.cache_expires_at
+            ):
+                snapshot = snapshots.encode(self.app.tables, lambda: gevent.sleep(0))
+                self.cached_snapshot = snapshot
+                self.cache_expires_at = now + SNAPSHOT_CACHE_S
+                self.app.timers.after(2 * SNAPSHOT_CACHE_S, self._drop_cached_snapshot)
+            return snapshot
+
+    def _drop_cached_snapshot(self) -> None:
+        if self.app.timers.now() >= self.cache_expires_at:
+            self.cached_snapshot = None
 
 
 def fetch_tables(app: Application, address: str, min_through: int) -> Result[Tables, str]:
     """Fetch a peer's tables chunk by chunk and check them against their digest."""
     chunks: list[bytes] = []
     digest, through, count = "", NO_VERSION, 1
-    while len(chunks) < min(count, MAX_PAGES):
+    while len(chunks) < min(count, MAX_CHUNKS):
         query = TablesQuery(digest, len(chunks), min_through)
-        answered = app.peers.call(address, query, PAGE_TIMEOUT_S)
+        answered = app.peers.call(address, query, CHUNK_TIMEOUT_S)
         if not isinstance(answered, Success):
             return Failure(answered.failure())
-        page = answered.unwrap()
-        if not isinstance(page, TablesAnswer) or not page.count:
+        chunk = answered.unwrap()
+        if not isinstance(chunk, TablesAnswer) or not chunk.count:
             return Failure("the snapshot is no longer kept")
-        if digest and page.digest != digest:
+        if digest and chunk.digest != digest:
             return Failure("the snapshot changed between two chunks")
-        digest, through, count = page.digest, page.through, page.count
-        chunks.append(page.data)
+        digest, through, count = chunk.digest, chunk.through, chunk.count
+        chunks.append(chunk.data)
     return snapshots.decode(through, digest, chunks, lambda: gevent.sleep(0))
 
 
 def setup(app: Application) -> None:
     """Register the controller."""
-    app.add_controller(StartUpController(app))
+    app.add_controller(StartupController(app))
--- a/agaterail/controllers/tables.py
+++ b/agaterail/controllers/tables.py
@@ -16,15 +16,15 @@
 if TYPE_CHECKING:
     from agaterail.application import Application
     from agaterail.tables import Tables
-    from agaterail.tables_reader import Judged, Step
+    from agaterail.tables_reader import FoldedRecord, Step
 
 logger = logs.get_logger("tables")
 
 # A read that waits costs the log one request per daemon and wait: 82 a second
 # from 410 daemons at 5 s. A log host that vanished silently is noticed after
 # this time and the client's own timeout together, well below 16 s.
-WAIT_S = 5.0
-FIRST_BACKOFF_S = 0.1
+LONG_POLL_S = 5.0
+INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 2.0
 GAP_BACKOFF_S = 2.0
 
@@ -60,14 +60,14 @@
         """Read the records after the last folded one."""
         if self.app.timers.now() < self.retry_at:
             return
-        wait_s = WAIT_S if self.log_up and not self.gap else 0.0
+        wait_s = LONG_POLL_S if self.log_up and not self.gap else 0.0
         result = self.reader.step(wait_s)
         if not isinstance(result, Success):
             self._on_failure(str(result.failure()))
             return
         self._on_step(result.unwrap())
 
-    def put_in_force(self) -> None:
+    def activate_tables(self) -> None:
         """Put what the reader holds in force; never goes back."""
         tables, old = self.reader.tables, self.app.tables
         if tables.through <= old.through:
@@ -80,7 +80,7 @@
         """End the start-up with what the reader holds."""
         self.serving = True
         logger.info("Serves tables.", through=self.reader.tables.through, source=source)
-        self.put_in_force()
+        self.activate_tables()
 
     def adopt(self, tables: Tables, source: str) -> None:
         """Take over newer tables of a peer."""
@@ -103,7 +103,7 @@
         if self.log_up is not False:
             logger.warning("Log gives no answer.", reason=reason)
         self.log_up = False
-        limit_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**self.failures)
+        limit_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**self.failures)
         self.failures = min(self.failures + 1, 10)
         # Half of the pause is random, so that a herd does not come back to the
         # log in step.
@@ -124,16 +124,16 @@
         self.gap = step.gap
         if self.gap and not step.adopted:
             self.retry_at = self.app.timers.now() + GAP_BACKOFF_S
-        for judged in step.judged:
-            self._log_verdict(judged)
+        for entry in step.records:
+            self._log_verdict(entry)
         if self.serving:
-            self.put_in_force()
+            self.activate_tables()
 
-    def _log_verdict(self, judged: Judged) -> None:
+    def _log_verdict(self, entry: FoldedRecord) -> None:
         logger.info(
-            "Judged a record.", offset=judged.offset, verdict=judged.folded.verdict.value
+            "Judged a record.", offset=entry.offset, verdict=entry.result.verdict.value
         )
-        self.app.metrics.count(f"tables.{judged.folded.verdict.value}")
+        self.app.metrics.count(f"tables.{entry.result.verdict.value}")
 
 
 def setup(app: Application) -> None:
--- a/agaterail/controllers/transfers.py
+++ b/agaterail/controllers/transfers.py
@@ -17,7 +17,7 @@
 
 logger = logs.get_logger("transfers")
 
-KEPT_TIMEOUT_S = 0.5
+STORE_QUERY_TIMEOUT_S = 0.5
 
 
 class TransfersController(Controller):
@@ -43,7 +43,7 @@
         return {"exported_blocks": self.exported_blocks}
 
     def _export(self, store: KvStore, use: PrefixUse) -> None:
-        kept = store.kept(use.keys, KEPT_TIMEOUT_S)
+        kept = store.kept(use.keys, STORE_QUERY_TIMEOUT_S)
         if not isinstance(kept, Success):
             return
         if kept.unwrap() < len(use.keys):
--- a/agaterail/editing.py
+++ b/agaterail/editing.py
@@ -17,16 +17,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from agaterail.fold import Folded
+    from agaterail.fold import FoldResult
     from agaterail.logstore import LogError, LogStore
     from agaterail.records import Change
-    from agaterail.tables_reader import Judged, TablesReader
+    from agaterail.tables_reader import FoldedRecord, TablesReader
 
-PAUSE_S = 0.2
-TRIES = 100
+RETRY_PAUSE_S = 0.2
+MAX_ATTEMPTS = 100
 READS_BEFORE_RESEND = 5
 EDIT_OVERHEAD_BYTES = 1024
-PART_ORDER = (
+CHANGE_ORDER = (
     (TableName.POOLS, Action.PUT),
     (TableName.ROUTES, Action.PUT),
     (TableName.ROUTES, Action.DELETE),
@@ -56,7 +56,7 @@
     while True:
         stepped = reader.step()
         if not isinstance(stepped, Success):
-            return Failure(f"The log gave no answer: {_reason(stepped.failure())}.")
+            return Failure(f"The log gave no answer: {_describe_error(stepped.failure())}.")
         step = stepped.unwrap()
         if step.gap and not step.adopted:
             return Failure(
@@ -67,12 +67,14 @@
             return Success(None)
 
 
-def size_of(edit: Edit) -> int:
+def edit_size(edit: Edit) -> int:
     """Return the bytes of an edit on the log."""
     return len(codec.encode(edit, TablesRecord))
 
 
-def parts_of(changes: Sequence[Change], limit: int = MAX_RECORD_BYTES) -> list[list[Change]]:
+def split_changes(
+    changes: Sequence[Change], limit: int = MAX_RECORD_BYTES
+) -> list[list[Change]]:
     """Split changes so that each part fits a record.
 
     Pools are put before the routes that name them and deleted after these are
@@ -80,7 +82,7 @@
     """
     parts: list[list[Change]] = []
     size = limit
-    for table, action in PART_ORDER:
+    for table, action in CHANGE_ORDER:
         for change in changes:
             if change.table is not table or change.action is not action:
                 continue
@@ -95,7 +97,7 @@
 
 def submit(
     log: LogStore, reader: TablesReader, edit: Edit, pause: Callable[[float], None]
-) -> Result[Folded, SubmitFailure]:
+) -> Result[FoldResult, SubmitFailure]:
     """Append an edit and read back how it was judged.
 
     The verdict comes from reading the edit on the log, never from the answer
@@ -103,19 +105,19 @@
     same edit with the same id is sent again until it is read back; a new id
     would count as another edit.
     """
-    if size_of(edit) > MAX_RECORD_BYTES:
+    if edit_size(edit) > MAX_RECORD_BYTES:
         return Failure(SubmitFailure(SubmitError.TOO_LARGE))
     maybe_sent = False
     reads_left = 0
     detail = ""
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         if reads_left <= 0:
             appended = log.append(TABLES_STREAM, codec.encode(edit, TablesRecord))
             if isinstance(appended, Success):
                 maybe_sent = True
             else:
                 error = appended.failure()
-                detail = _reason(error)
+                detail = _describe_error(error)
                 if error.kind is LogErrorKind.TOO_LARGE:
                     return Failure(SubmitFailure(SubmitError.TOO_LARGE))
                 maybe_sent = maybe_sent or error.kind is LogErrorKind.UNANSWERED
@@ -125,32 +127,32 @@
             if found is not None:
                 return found
             reads_left -= 1
-        pause(PAUSE_S)
+        pause(RETRY_PAUSE_S)
     kind = SubmitError.UNKNOWN if maybe_sent else SubmitError.NOT_SENT
     return Failure(SubmitFailure(kind, detail))
 
 
-def _read_back(reader: TablesReader, edit: Edit) -> Result[Folded, SubmitFailure] | None:
+def _read_back(reader: TablesReader, edit: Edit) -> Result[FoldResult, SubmitFailure] | None:
     while True:
         stepped = reader.step()
         if not isinstance(stepped, Success):
             return None
         step = stepped.unwrap()
-        mine = _first_of(step.judged, edit)
-        if mine is not None:
-            return Success(mine.folded)
+        own = _find_edit(step.records, edit)
+        if own is not None:
+            return Success(own.result)
         if step.gap and not step.adopted:
             return Failure(SubmitFailure(SubmitError.GAP))
         if step.at_end:
             return None
 
 
-def _first_of(judged: Sequence[Judged], edit: Edit) -> Judged | None:
-    for item in judged:
+def _find_edit(records: Sequence[FoldedRecord], edit: Edit) -> FoldedRecord | None:
+    for item in records:
         if isinstance(item.record, Edit) and item.record.edit_id == edit.edit_id:
             return item
     return None
 
 
-def _reason(error: LogError) -> str:
+def _describe_error(error: LogError) -> str:
     return f"{error.kind.value} {error.detail}".strip()
--- a/agaterail/filters/claim.py
+++ b/agaterail/filters/claim.py
@@ -132,7 +132,7 @@
     def _tell(self, verdict: Verdict) -> Result[Reply, errors.Failure]:
         finish = verdict.finish
         if finish is None:
-            if verdict.holder and self.controller.runs(verdict.holder, verdict.holding):
+            if verdict.holder and self.controller.is_running(verdict.holder, verdict.holding):
                 return Failure(errors.Failure(ErrorKind.DUPLICATE_IN_PROGRESS))
             return Failure(errors.Failure(ErrorKind.CLAIM_UNRESOLVED))
         if finish.outcome is ClaimOutcome.UNKNOWN:
--- a/agaterail/filters/retry.py
+++ b/agaterail/filters/retry.py
@@ -14,7 +14,7 @@
     from agaterail.application import Application
     from agaterail.exchange import Exchange, Reply
     from agaterail.filters import Proceed
-    from agaterail.targets import TargetBook
+    from agaterail.targets import TargetStateTable
     from agaterail.timers import TimerService
 
 logger = logs.get_logger("retry")
@@ -62,7 +62,9 @@
 
     order = 450
 
-    def __init__(self, targets: TargetBook, timers: TimerService, budget: RetryBudget) -> None:
+    def __init__(
+        self, targets: TargetStateTable, timers: TimerService, budget: RetryBudget
+    ) -> None:
         self.targets = targets
         self.timers = timers
         self.budget = budget
--- a/agaterail/fold.py
+++ b/agaterail/fold.py
@@ -10,7 +10,7 @@
 
 from agaterail import codec
 from agaterail.records import RULES_VERSION, Action, Change, Edit, SnapshotMark, TablesRecord
-from agaterail.table_rules import TableProblem, joined_problems, row_problems
+from agaterail.table_rules import TableProblem, cross_table_problems, row_problems
 from agaterail.tables import Pool, R, Route, TableName, Tables, Versioned
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Folded:
+class FoldResult:
     """The tables after one record, with the verdict and its reasons."""
 
     tables: Tables
@@ -41,7 +41,7 @@
     conflicts: tuple[Change, ...] = ()
 
 
-def fold(tables: Tables, record: TablesRecord, offset: int) -> Folded:
+def fold(tables: Tables, record: TablesRecord, offset: int) -> FoldResult:
     """Judge one record and return the tables that are in force after it.
 
     Parameters
@@ -56,45 +56,49 @@
     if record.rules != RULES_VERSION:
         # A daemon of another release might judge this record differently.
         # Rejecting it everywhere below that release keeps all views equal.
-        return Folded(attrs.evolve(tables, through=offset), Verdict.UNKNOWN_RULES)
+        return FoldResult(attrs.evolve(tables, through=offset), Verdict.UNKNOWN_RULES)
     if isinstance(record, SnapshotMark):
         # A reader that folds in order already holds what a snapshot covers.
         # Taking its content here could only revert edits between the two.
-        return Folded(attrs.evolve(tables, through=offset), Verdict.SNAPSHOT)
+        return FoldResult(attrs.evolve(tables, through=offset), Verdict.SNAPSHOT)
     return _fold_edit(tables, record, offset)
 
 
-def fold_bytes(tables: Tables, data: bytes, offset: int) -> tuple[TablesRecord | None, Folded]:
+def fold_bytes(
+    tables: Tables, data: bytes, offset: int
+) -> tuple[TablesRecord | None, FoldResult]:
     """Decode and judge one record; a malformed one changes nothing but the offset."""
     decoded = codec.decode(data, TablesRecord)
     if not isinstance(decoded, Success):
         # The offset must move: a reader that stayed in front of the record
         # would read it for ever and never see the edits behind it.
-        return None, Folded(attrs.evolve(tables, through=offset), Verdict.MALFORMED)
+        return None, FoldResult(attrs.evolve(tables, through=offset), Verdict.MALFORMED)
     record = decoded.unwrap()
     return record, fold(tables, record, offset)
 
 
-def _fold_edit(tables: Tables, edit: Edit, offset: int) -> Folded:
+def _fold_edit(tables: Tables, edit: Edit, offset: int) -> FoldResult:
     if edit.edit_id in tables.edit_ids:
-        return Folded(attrs.evolve(tables, through=offset), Verdict.REPEATED)
+        return FoldResult(attrs.evolve(tables, through=offset), Verdict.REPEATED)
     # Refused edits are remembered too. A second copy can arrive late, after
     # other edits made it valid; it would come into force although its
     # operator was told that it had been refused.
     seen = attrs.evolve(
-        tables, through=offset, edit_ids=_remember(tables.edit_ids, edit.edit_id, offset)
+        tables,
+        through=offset,
+        edit_ids=_remember_edit_id(tables.edit_ids, edit.edit_id, offset),
     )
-    conflicts = tuple(change for change in edit.changes if _conflicts(tables, change))
+    conflicts = tuple(change for change in edit.changes if _is_conflict(tables, change))
     if conflicts:
-        return Folded(seen, Verdict.CONFLICT, conflicts=conflicts)
+        return FoldResult(seen, Verdict.CONFLICT, conflicts=conflicts)
     changed = _apply(seen, edit, offset)
     problems = _edit_problems(changed, edit)
     if problems:
-        return Folded(seen, Verdict.INVALID, problems=tuple(problems))
-    return Folded(changed, Verdict.ACCEPTED)
+        return FoldResult(seen, Verdict.INVALID, problems=tuple(problems))
+    return FoldResult(changed, Verdict.ACCEPTED)
 
 
-def _conflicts(tables: Tables, change: Change) -> bool:
+def _is_conflict(tables: Tables, change: Change) -> bool:
     return tables.version_of(change.table, change.name) != change.expected_version
 
 
@@ -126,7 +130,9 @@
         rows[change.name] = Versioned(row, offset, author)
 
 
-def _remember(edit_ids: Mapping[str, int], edit_id: str, offset: int) -> dict[str, int]:
+def _remember_edit_id(
+    edit_ids: Mapping[str, int], edit_id: str, offset: int
+) -> dict[str, int]:
     remembered = dict(edit_ids)
     remembered[edit_id] = offset
     while len(remembered) > MAX_EDIT_IDS:
@@ -139,7 +145,7 @@
     for change in edit.changes:
         problems.extend(_change_problems(change))
     problems.extend(
-        joined_problems(tables, [(change.table, change.name) for change in edit.changes])
+        cross_table_problems(tables, [(change.table, change.name) for change in edit.changes])
     )
     return problems
 
--- a/agaterail/snapshots.py
+++ b/agaterail/snapshots.py
@@ -23,31 +23,31 @@
 CHUNK_BYTES = MAX_RECORD_BYTES // 2
 COMPRESSION_LEVEL = 1
 DIGEST_BYTES = 16
-ROWS_PER_STEP = 500
+ROWS_PER_PAUSE = 500
 
 RECORDS_PER_SNAPSHOT = 256
 BYTES_PER_SNAPSHOT = 4 * 1024 * 1024
-JITTER_PART = 1 / 6
+JITTER_FRACTION = 1 / 6
 URGENT_JITTER_S = 60.0
 
-ROUTE = "r"
-POOL = "p"
-EDIT_ID = "e"
+ROUTE_TAG = "r"
+POOL_TAG = "p"
+EDIT_ID_TAG = "e"
 
 # The digest vouches for the bytes, so errors need no path to the field; that
 # makes reading 23,000 rows three times faster.
 converter = make_converter(omit_if_default=True, detailed_validation=False)
-TEXTS = tuple[str, ...]
+STRINGS = tuple[str, ...]
 
 
-def _structure_texts(value: Any, _kind: Any) -> TEXTS:
+def _structure_strings(value: Any, _kind: Any) -> STRINGS:
     # The general hook makes a generator for each tuple, a third of the time.
     if type(value) is not tuple or not all(type(text) is str for text in value):
         raise TypeError("a tuple of texts is needed")
     return value
 
 
-converter.register_structure_hook_func(lambda kind: kind == TEXTS, _structure_texts)
+converter.register_structure_hook_func(lambda kind: kind == STRINGS, _structure_strings)
 
 
 @attrs.frozen
@@ -94,11 +94,11 @@
     pools: dict[str, Versioned[Pool]] = {}
     edit_ids: dict[str, int] = {}
     try:
-        for kind, fields in _rows_of(chunks, pause):
-            if kind == ROUTE:
-                route = _route_of(fields)
+        for kind, fields in _unpack_rows(chunks, pause):
+            if kind == ROUTE_TAG:
+                route = _structure_route(fields)
                 routes[route.row.name] = route
-            elif kind == POOL:
+            elif kind == POOL_TAG:
                 pool = converter.structure(fields, Versioned[Pool])
                 pools[pool.row.name] = pool
             else:
@@ -120,32 +120,32 @@
 def _raw_chunks(tables: Tables, pause: Callable[[], None]) -> Iterator[bytes]:
     rows: list[bytes] = []
     size = 0
-    for number, row in enumerate(_packed_rows(tables)):
+    for number, row in enumerate(_pack_rows(tables)):
         if rows and size + len(row) > CHUNK_BYTES:
             yield b"".join(rows)
             rows, size = [], 0
         rows.append(row)
         size += len(row)
-        if number % ROWS_PER_STEP == ROWS_PER_STEP - 1:
+        if number % ROWS_PER_PAUSE == ROWS_PER_PAUSE - 1:
             pause()
     yield b"".join(rows)
 
 
-def _packed_rows(tables: Tables) -> Iterator[bytes]:
+def _pack_rows(tables: Tables) -> Iterator[bytes]:
     # Rows go in order of their names, so that equal tables have equal digests
     # on daemons that came to them by different ways.
-    yield from _packed(POOL, tables.pools)
-    yield from _packed(ROUTE, tables.routes)
+    yield from _pack_table(POOL_TAG, tables.pools)
+    yield from _pack_table(ROUTE_TAG, tables.routes)
     for edit_id, offset in tables.edit_ids.items():
-        yield msgpack.packb([EDIT_ID, [edit_id, offset]])
+        yield msgpack.packb([EDIT_ID_TAG, [edit_id, offset]])
 
 
-def _packed(kind: str, rows: Mapping[str, Versioned[Any]]) -> Iterator[bytes]:
+def _pack_table(kind: str, rows: Mapping[str, Versioned[Any]]) -> Iterator[bytes]:
     for name in sorted(rows):
         yield msgpack.packb([kind, converter.unstructure(rows[name])])
 
 
-def _route_of(fields: Any) -> Versioned[Route]:
+def _structure_route(fields: Any) -> Versioned[Route]:
     # A route has only texts, numbers and tuples of texts, which msgpack gives
     # as they are. Without the general converter 23,000 of them take half of
     # the time, and a daemon that starts serves that much sooner.
@@ -157,7 +157,9 @@
         return converter.structure(fields, Versioned[Route])
 
 
-def _rows_of(chunks: Iterable[bytes], pause: Callable[[], None]) -> Iterator[tuple[str, Any]]:
+def _unpack_rows(
+    chunks: Iterable[bytes], pause: Callable[[], None]
+) -> Iterator[tuple[str, Any]]:
     number = 0
     for chunk in chunks:
         unpacker = msgpack.Unpacker(raw=False, use_list=False)
@@ -165,7 +167,7 @@
         for kind, fields in unpacker:
             yield kind, fields
             number += 1
-            if number % ROWS_PER_STEP == 0:
+            if number % ROWS_PER_PAUSE == 0:
                 pause()
 
 
@@ -181,14 +183,14 @@
         Oldest offset that is still kept.
     end
         Offset that the next append would get.
-    bytes_since
+    bytes_since_snapshot
         Bytes of edits after the last usable snapshot.
     """
 
     through: int
     first: int
     end: int
-    bytes_since: int = 0
+    bytes_since_snapshot: int = 0
 
 
 class SnapshotSchedule:
@@ -242,10 +244,14 @@
             # keeps daemons that restart often from putting it off for ever.
             self.refresh_at = now + self.random.uniform(0, self.interval_s)
         if self._near_expiry(view):
-            return min(URGENT_JITTER_S, self.interval_s * JITTER_PART)
-        many = view.through - self.mark_through >= RECORDS_PER_SNAPSHOT
-        if many or view.bytes_since >= BYTES_PER_SNAPSHOT or now >= self.refresh_at:
-            return self.interval_s * JITTER_PART
+            return min(URGENT_JITTER_S, self.interval_s * JITTER_FRACTION)
+        enough_records = view.through - self.mark_through >= RECORDS_PER_SNAPSHOT
+        if (
+            enough_records
+            or view.bytes_since_snapshot >= BYTES_PER_SNAPSHOT
+            or now >= self.refresh_at
+        ):
+            return self.interval_s * JITTER_FRACTION
         return None
 
     def _near_expiry(self, view: StreamView) -> bool:
--- a/agaterail/startup.py
+++ b/agaterail/startup.py
@@ -18,11 +18,11 @@
     from collections.abc import Iterable
 
 # Chosen by measurement: docs/internals/decisions/0402-start-up.md.
-ASKED_PEERS = 8
-WANTED_ANSWERS = 4
+PEERS_PER_ROUND = 8
+SUFFICIENT_ANSWERS = 4
 ANSWER_WAIT_S = 0.1
 LOG_WAIT_S = 0.1
-HOSTS_WAIT_S = 0.15
+HOST_LIST_WAIT_S = 0.15
 MAX_ROUND_PAUSE_S = 1.0
 
 
@@ -34,7 +34,7 @@
     FETCH = "fetch"
 
 
-class PeerRound:
+class QueryRound:
     """One round of questions to random peers.
 
     Attributes
@@ -44,9 +44,9 @@
     """
 
     def __init__(self, peers: Iterable[str], now: float) -> None:
-        self.asked = tuple(peers)
-        self.pending = set(self.asked)
-        self.asked_at = now
+        self.queried = tuple(peers)
+        self.pending = set(self.queried)
+        self.started_at = now
         self.answers: dict[str, int] = {}
 
     def on_answer(self, address: str, through: int) -> None:
@@ -60,9 +60,9 @@
         self.pending.discard(address)
         self.answers.pop(address, None)
 
-    def over(self, now: float) -> bool:
+    def is_over(self, now: float) -> bool:
         """Tell whether no more answers are waited for."""
-        return not self.pending or now - self.asked_at >= ANSWER_WAIT_S
+        return not self.pending or now - self.started_at >= ANSWER_WAIT_S
 
     @property
     def floor(self) -> int:
@@ -70,7 +70,7 @@
         return max(self.answers.values(), default=NO_VERSION)
 
     @property
-    def best(self) -> str | None:
+    def best_peer(self) -> str | None:
         """Return a peer that serves the newest offset."""
         return max(self.answers, key=lambda address: self.answers[address], default=None)
 
@@ -91,12 +91,12 @@
     failed: bool = False
 
 
-class StartUp:
+class StartupPlan:
     """Decides when this daemon serves, and from which source.
 
     Parameters
     ----------
-    asked, wanted
+    peers_per_round, sufficient_answers
         Peers asked in a round and answers waited for.
     """
 
@@ -104,16 +104,16 @@
         self,
         random_source: random.Random,
         now: float,
-        asked: int = ASKED_PEERS,
-        wanted: int = WANTED_ANSWERS,
+        peers_per_round: int = PEERS_PER_ROUND,
+        sufficient_answers: int = SUFFICIENT_ANSWERS,
     ) -> None:
         self.random = random_source
         self.started_at = now
-        self.asked = asked
-        self.wanted = wanted
+        self.peers_per_round = peers_per_round
+        self.sufficient_answers = sufficient_answers
         self.log = LogState()
-        self.round: PeerRound | None = None
-        self.tried: set[str] = set()
+        self.round: QueryRound | None = None
+        self.tried_peers: set[str] = set()
         self.round_pause_s = ANSWER_WAIT_S
 
     def next_round(self, peers: Iterable[str] | None, now: float) -> tuple[str, ...]:
@@ -124,28 +124,28 @@
         peers
             All other daemons, or None while the host list has not answered.
         """
-        if self.round is not None and not self._wants_round(self.round, now):
+        if self.round is not None and not self._needs_round(self.round, now):
             return ()
-        if peers is None and now - self.started_at < HOSTS_WAIT_S:
+        if peers is None and now - self.started_at < HOST_LIST_WAIT_S:
             return ()
-        candidates = sorted(set(peers or ()) - self.tried)
+        candidates = sorted(set(peers or ()) - self.tried_peers)
         if not candidates:
             # Everyone has been asked once: begin again.
-            self.tried.clear()
+            self.tried_peers.clear()
             candidates = sorted(peers or ())
-        chosen = self.random.sample(candidates, min(self.asked, len(candidates)))
-        self.tried.update(chosen)
-        self.round = PeerRound(chosen, now)
+        chosen = self.random.sample(candidates, min(self.peers_per_round, len(candidates)))
+        self.tried_peers.update(chosen)
+        self.round = QueryRound(chosen, now)
         return tuple(chosen)
 
     def decide(self, own_through: int, now: float) -> Decision:
         """Return the next step for a daemon whose log gave ``own_through``."""
-        asked = self.round
-        if asked is None:
+        current = self.round
+        if current is None:
             return Decision.WAIT
-        if len(asked.answers) < self.wanted and not asked.over(now):
+        if len(current.answers) < self.sufficient_answers and not current.is_over(now):
             return Decision.WAIT
-        if asked.floor > own_through:
+        if current.floor > own_through:
             # The log may be about to answer with newer tables than the peers.
             log_may_answer = now - self.started_at < LOG_WAIT_S
             if log_may_answer and not (self.log.at_end or self.log.failed):
@@ -155,14 +155,14 @@
             return Decision.WAIT
         return Decision.SERVE if self.log.at_end or self.log.failed else Decision.WAIT
 
-    def _wants_round(self, asked: PeerRound, now: float) -> bool:
-        if not asked.asked:
+    def _needs_round(self, current: QueryRound, now: float) -> bool:
+        if not current.queried:
             return True
-        if asked.floor > NO_VERSION or not asked.over(now):
+        if current.floor > NO_VERSION or not current.is_over(now):
             return False
         # Peers that serve nothing answer at once. Without a pause a herd that
         # starts while the log is down would ask hundreds of times a second.
-        if now - asked.asked_at < self.round_pause_s:
+        if now - current.started_at < self.round_pause_s:
             return False
         self.round_pause_s = min(MAX_ROUND_PAUSE_S, 2 * self.round_pause_s)
         return True
--- a/agaterail/table_files.py
+++ b/agaterail/table_files.py
@@ -11,7 +11,7 @@
 
 from agaterail import codec
 from agaterail.records import Action, Change
-from agaterail.table_rules import joined_problems, row_problems
+from agaterail.table_rules import cross_table_problems, row_problems
 from agaterail.tables import Pool, Route, Row, TableName, Tables, Versioned
 
 if TYPE_CHECKING:
@@ -36,60 +36,60 @@
     problems: list[FileProblem] = []
     routes: dict[str, Versioned[Route]] = {}
     pools: dict[str, Versioned[Pool]] = {}
-    origin: dict[tuple[TableName, str], str] = {}
-    for file in _files(paths):
+    source_files: dict[tuple[TableName, str], str] = {}
+    for file in _toml_files(paths):
         for table, row in _read_file(file, problems):
-            place = (table, row.name)
-            if place in origin:
-                text = f"{table.value}.{row.name}: also in {origin[place]}"
+            row_path = (table, row.name)
+            if row_path in source_files:
+                text = f"{table.value}.{row.name}: also in {source_files[row_path]}"
                 problems.append(FileProblem(str(file), text))
-            origin[place] = str(file)
+            source_files[row_path] = str(file)
             problems.extend(FileProblem(str(file), str(item)) for item in row_problems(row))
             if isinstance(row, Route):
                 routes[row.name] = Versioned(row, 0)
             else:
                 pools[row.name] = Versioned(row, 0)
     tables = Tables(routes, pools)
-    for item in joined_problems(tables, origin):
-        problems.append(FileProblem(origin[(item.table, item.row)], str(item)))
+    for item in cross_table_problems(tables, source_files):
+        problems.append(FileProblem(source_files[(item.table, item.row)], str(item)))
     if problems:
         return Failure(problems)
     return Success(tables)
 
 
-def changes_between(force: Tables, wanted: Tables) -> tuple[Change, ...]:
+def changes_between(current: Tables, desired: Tables) -> tuple[Change, ...]:
     """Return the changes that make the tables in force equal to the wanted ones."""
     changes: list[Change] = []
     for table in (TableName.POOLS, TableName.ROUTES):
-        old = force.rows_of(table)
-        new = wanted.rows_of(table)
+        old = current.rows_of(table)
+        new = desired.rows_of(table)
         for name in sorted(new):
             if name not in old or old[name].row != new[name].row:
-                changes.append(_put(force, table, new[name].row))
+                changes.append(_put_change(current, table, new[name].row))
         for name in sorted(set(old) - set(new)):
             changes.append(
                 Change(
                     table=table,
                     name=name,
                     action=Action.DELETE,
-                    expected_version=force.version_of(table, name),
+                    expected_version=current.version_of(table, name),
                 )
             )
     return tuple(changes)
 
 
-def _put(force: Tables, table: TableName, row: Row) -> Change:
+def _put_change(current: Tables, table: TableName, row: Row) -> Change:
     return Change(
         table=table,
         name=row.name,
         action=Action.PUT,
-        expected_version=force.version_of(table, row.name),
+        expected_version=current.version_of(table, row.name),
         route=row if isinstance(row, Route) else None,
         pool=row if isinstance(row, Pool) else None,
     )
 
 
-def _files(paths: Iterable[str]) -> list[pathlib.Path]:
+def _toml_files(paths: Iterable[str]) -> list[pathlib.Path]:
     found: list[pathlib.Path] = []
     for text in paths:
         path = pathlib.Path(text)
@@ -122,16 +122,16 @@
     file: str, table: TableName, name: str, fields: Any, problems: list[FileProblem]
 ) -> Row | None:
     kind = ROW_TYPES[table]
-    place = f"{table.value}.{name}"
+    row_path = f"{table.value}.{name}"
     if not isinstance(fields, dict):
-        problems.append(FileProblem(file, f"{place}: found {fields!r}, allowed a table"))
+        problems.append(FileProblem(file, f"{row_path}: found {fields!r}, allowed a table"))
         return None
     allowed = {field.name for field in attrs.fields(kind)} - {"name"}
     unknown = sorted(set(fields) - allowed)
     for field in unknown:
         names = ", ".join(sorted(allowed))
         problems.append(
-            FileProblem(file, f"{place}.{field}: found an unknown field, allowed {names}")
+            FileProblem(file, f"{row_path}.{field}: found an unknown field, allowed {names}")
         )
     if unknown:
         return None
@@ -139,7 +139,7 @@
         return codec.converter.structure({**fields, "name": name}, kind)
     except Exception as error:  # cattrs groups the problems of all fields
         for text in _structure_errors(error):
-            problems.append(FileProblem(file, f"{place}: {text}"))
+            problems.append(FileProblem(file, f"{row_path}: {text}"))
         return None
 
 
--- a/agaterail/table_rules.py
+++ b/agaterail/table_rules.py
@@ -43,7 +43,7 @@
     return list(_route_problems(row))
 
 
-def joined_problems(
+def cross_table_problems(
     tables: Tables, changed: Iterable[tuple[TableName, str]]
 ) -> list[TableProblem]:
     """Return the problems that the changed rows cause between the tables.
@@ -57,30 +57,30 @@
         (routes if table is TableName.ROUTES else pools).add(name)
     problems: list[TableProblem] = []
     for name in routes:
-        held = tables.routes.get(name)
-        if held is not None:
-            problems.extend(_join_problems(tables, held.row))
+        versioned = tables.routes.get(name)
+        if versioned is not None:
+            problems.extend(_reference_problems(tables, versioned.row))
     if pools:
-        for name, held in tables.routes.items():
-            if held.row.pool in pools and name not in routes:
-                problems.extend(_join_problems(tables, held.row))
+        for name, versioned in tables.routes.items():
+            if versioned.row.pool in pools and name not in routes:
+                problems.extend(_reference_problems(tables, versioned.row))
     return sorted(problems, key=lambda problem: problem.row)
 
 
-def _join_problems(tables: Tables, route: Route) -> Iterator[TableProblem]:
-    held = tables.pools.get(route.pool)
-    if held is None:
+def _reference_problems(tables: Tables, route: Route) -> Iterator[TableProblem]:
+    versioned = tables.pools.get(route.pool)
+    if versioned is None:
         yield TableProblem(
             TableName.ROUTES, route.name, "pool", route.pool, "the name of a pool in force"
         )
         return
-    pool = held.row
+    pool = versioned.row
     if pool.kind is PoolKind.ENGINE and pool.model not in route.models:
         yield TableProblem(
             TableName.ROUTES,
             route.name,
             "models",
-            _list(route.models),
+            _join_names(route.models),
             f"a list with {pool.model}",
         )
     if pool.kind is PoolKind.SERVICE and not route.path_prefix:
@@ -140,7 +140,7 @@
         if not DIGEST_PATTERN.fullmatch(digest):
             yield problem("callers", digest, "64 lower-case hex digits")
     if bool(route.models) == bool(route.path_prefix):
-        yield problem("models", _list(route.models), "either models or path_prefix")
+        yield problem("models", _join_names(route.models), "either models or path_prefix")
     if route.path_prefix and not route.path_prefix.startswith("/"):
         yield problem("path_prefix", route.path_prefix, "a path that starts with /")
     for field in ("methods", "at_most_once_methods"):
@@ -164,5 +164,5 @@
     return True
 
 
-def _list(names: tuple[str, ...]) -> str:
+def _join_names(names: tuple[str, ...]) -> str:
     return ", ".join(names) or "none"
--- a/agaterail/table_text.py
+++ b/agaterail/table_text.py
@@ -16,19 +16,19 @@
 
     from agaterail.records import Change
     from agaterail.tables import Row, Tables, Versioned
-    from agaterail.tables_reader import Judged
+    from agaterail.tables_reader import FoldedRecord
 
 SHOWN_CHANGES = 20
 
 
-def plan_lines(force: Tables, changes: Sequence[Change]) -> Iterator[str]:
+def plan_lines(current: Tables, changes: Sequence[Change]) -> Iterator[str]:
     """Describe each change against what is in force, and the sum."""
     counts = {"+": 0, "~": 0, "-": 0}
     for change in changes:
         sign = _sign(change)
         counts[sign] += 1
         line = f"{sign} {change.table.value}.{change.name}"
-        yield line + (f": {_fields_changed(force, change)}" if sign == "~" else "")
+        yield line + (f": {_fields_changed(current, change)}" if sign == "~" else "")
     if changes:
         yield (
             f"Plan: {counts['+']} to add, {counts['~']} to change, {counts['-']} to remove."
@@ -40,47 +40,50 @@
 def toml_lines(tables: Tables) -> Iterator[str]:
     """Write the tables as a table file, with versions and authors as comments."""
     yield f"# In force through offset {tables.through}."
-    for held in _held_rows(tables):
-        table = TableName.ROUTES if isinstance(held.row, Route) else TableName.POOLS
+    for versioned in _sorted_rows(tables):
+        table = TableName.ROUTES if isinstance(versioned.row, Route) else TableName.POOLS
         yield ""
-        yield f"# version {held.version}, author {_toml(held.author)}"
-        yield f"[{table.value}.{_toml(held.row.name)}]"
-        for name, value in _fields_of(held.row).items():
-            yield f"{name} = {_toml(value)}"
+        yield f"# version {versioned.version}, author {_toml_value(versioned.author)}"
+        yield f"[{table.value}.{_toml_value(versioned.row.name)}]"
+        for name, value in _fields_of(versioned.row).items():
+            yield f"{name} = {_toml_value(value)}"
 
 
 def as_json(tables: Tables) -> str:
     """Write the tables as one JSON object."""
     found: dict[str, Any] = {"through": tables.through, "pools": {}, "routes": {}}
-    for held in _held_rows(tables):
-        table = TableName.ROUTES if isinstance(held.row, Route) else TableName.POOLS
-        found[table.value][held.row.name] = {
-            "version": held.version,
-            "author": held.author,
-            "row": codec.converter.unstructure(held.row),
+    for versioned in _sorted_rows(tables):
+        table = TableName.ROUTES if isinstance(versioned.row, Route) else TableName.POOLS
+        found[table.value][versioned.row.name] = {
+            "version": versioned.version,
+            "author": versioned.author,
+            "row": codec.converter.unstructure(versioned.row),
         }
     return json.dumps(found, indent=1, sort_keys=True)
 
 
-def conflict_lines(force: Tables, conflicts: Iterable[Change]) -> Iterator[str]:
+def conflict_lines(current: Tables, conflicts: Iterable[Change]) -> Iterator[str]:
     """Tell for each row in conflict what is in force now and by whom."""
     for change in conflicts:
-        place = f"{change.table.value}.{change.name}"
-        rows: Mapping[str, Versioned[Any]] = force.rows_of(change.table)
-        held = rows.get(change.name)
+        row_path = f"{change.table.value}.{change.name}"
+        rows: Mapping[str, Versioned[Any]] = current.rows_of(change.table)
+        versioned = rows.get(change.name)
         seen = _version_text(change.expected_version)
-        if held is None:
-            yield f"{place}: you saw {seen}; it has been deleted since."
+        if versioned is None:
+            yield f"{row_path}: you saw {seen}; it has been deleted since."
             continue
-        yield f"{place}: you saw {seen}; in force is version {held.version} by {held.author}:"
-        for name, value in _fields_of(held.row).items():
-            yield f"    {name} = {_toml(value)}"
+        yield (
+            f"{row_path}: you saw {seen}; "
+            f"in force is version {versioned.version} by {versioned.author}:"
+        )
+        for name, value in _fields_of(versioned.row).items():
+            yield f"    {name} = {_toml_value(value)}"
 
 
-def history_line(judged: Judged) -> str:
+def history_line(entry: FoldedRecord) -> str:
     """Describe one record and its verdict."""
-    record = judged.record
-    line = f"{judged.offset} {judged.folded.verdict.value}"
+    record = entry.record
+    line = f"{entry.offset} {entry.result.verdict.value}"
     if isinstance(record, Edit):
         shown = [f"{_sign(item)}{item.table.value}.{item.name}" for item in record.changes]
         more = len(shown) - SHOWN_CHANGES
@@ -92,14 +95,14 @@
     return line
 
 
-def history_json(judged: Judged) -> str:
+def history_json(entry: FoldedRecord) -> str:
     """Return one record and its verdict as a line of JSON."""
     found: dict[str, Any] = {
-        "offset": judged.offset,
-        "verdict": judged.folded.verdict.value,
-        "problems": [str(problem) for problem in judged.folded.problems],
+        "offset": entry.offset,
+        "verdict": entry.result.verdict.value,
+        "problems": [str(problem) for problem in entry.result.problems],
     }
-    record = judged.record
+    record = entry.record
     if isinstance(record, Edit):
         found["edit_id"] = record.edit_id
         found["author"] = record.author
@@ -123,8 +126,8 @@
     return "+" if change.expected_version == NO_VERSION else "~"
 
 
-def _fields_changed(force: Tables, change: Change) -> str:
-    rows: Mapping[str, Versioned[Any]] = force.rows_of(change.table)
+def _fields_changed(current: Tables, change: Change) -> str:
+    rows: Mapping[str, Versioned[Any]] = current.rows_of(change.table)
     old = rows[change.name].row
     new = change.route or change.pool
     pairs = (
@@ -132,13 +135,13 @@
         for field in attrs.fields(type(old))
     )
     return ", ".join(
-        f"{name} {_toml(before)} -> {_toml(after)}"
+        f"{name} {_toml_value(before)} -> {_toml_value(after)}"
         for name, before, after in pairs
         if before != after
     )
 
 
-def _held_rows(tables: Tables) -> Iterator[Versioned[Any]]:
+def _sorted_rows(tables: Tables) -> Iterator[Versioned[Any]]:
     for table in (TableName.POOLS, TableName.ROUTES):
         rows: Mapping[str, Versioned[Any]] = tables.rows_of(table)
         for name in sorted(rows):
@@ -152,7 +155,7 @@
     return fields
 
 
-def _toml(value: Any) -> str:
+def _toml_value(value: Any) -> str:
     if attrs.has(type(value)):
         value = codec.converter.unstructure(value)
     if isinstance(value, bool):
@@ -161,9 +164,13 @@
         # JSON's escapes are TOML's, but for DEL, which TOML wants escaped.
         return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007F")
     if isinstance(value, dict):
-        return "{" + ", ".join(f"{name} = {_toml(item)}" for name, item in value.items()) + "}"
+        return (
+            "{"
+            + ", ".join(f"{name} = {_toml_value(item)}" for name, item in value.items())
+            + "}"
+        )
     if isinstance(value, (list, tuple)):
-        return "[" + ", ".join(_toml(item) for item in value) + "]"
+        return "[" + ", ".join(_toml_value(item) for item in value) + "]"
     return str(value)
 
 
--- a/agaterail/tables_reader.py
+++ b/agaterail/tables_reader.py
@@ -24,17 +24,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from agaterail.fold import Folded
+    from agaterail.fold import FoldResult
     from agaterail.logstore import LogError, LogSlice, LogStore
 
 
 @attrs.frozen
-class Judged:
+class FoldedRecord:
     """One record with its verdict; ``record`` is None when it is malformed."""
 
     offset: int
     record: TablesRecord | None
-    folded: Folded
+    result: FoldResult
 
 
 @attrs.frozen
@@ -43,7 +43,7 @@
 
     Attributes
     ----------
-    judged
+    records
         Records that were folded.
     adopted
         Whether a snapshot was taken over.
@@ -53,7 +53,7 @@
         Whether nothing more was readable.
     """
 
-    judged: tuple[Judged, ...] = ()
+    records: tuple[FoldedRecord, ...] = ()
     adopted: bool = False
     gap: bool = False
     at_end: bool = False
@@ -94,7 +94,7 @@
             through=self.tables.through,
             first=self.first,
             end=self.end,
-            bytes_since=self.bytes_since_mark,
+            bytes_since_snapshot=self.bytes_since_mark,
         )
 
     def adopt(self, tables: Tables) -> bool:
@@ -110,40 +110,40 @@
         read = self.log.read(TABLES_STREAM, offset, wait_s=wait_s)
         if not isinstance(read, Success):
             return Failure(read.failure())
-        kept = read.unwrap()
+        log_slice = read.unwrap()
         if offset != self.tables.through + 1:
             # A peer's tables were adopted while the read was waiting; its
             # records belong to an older state.
             return Success(Step())
-        self.first, self.end = kept.first, kept.end
-        if kept.first > offset:
-            return self._bridge(kept)
-        judged = tuple(self._fold(record.offset, record.data) for record in kept.records)
+        self.first, self.end = log_slice.first, log_slice.end
+        if log_slice.first > offset:
+            return self._recover_from_gap(log_slice)
+        records = tuple(self._fold(record.offset, record.data) for record in log_slice.records)
         # A log that names a later end and returns nothing would keep the
         # commands reading for ever.
-        at_end = not kept.records or self.tables.through + 1 >= kept.end
-        return Success(Step(judged, at_end=at_end))
+        at_end = not log_slice.records or self.tables.through + 1 >= log_slice.end
+        return Success(Step(records, at_end=at_end))
 
-    def _fold(self, offset: int, data: bytes) -> Judged:
+    def _fold(self, offset: int, data: bytes) -> FoldedRecord:
         record, folded = fold_bytes(self.tables, data, offset)
         self.tables = folded.tables
         if isinstance(record, Edit):
             self.bytes_since_mark += len(data)
         if isinstance(record, SnapshotMark):
-            self._note_mark(offset, record)
+            self._add_mark(offset, record)
             self.bytes_since_mark = 0
-        return Judged(offset, record, folded)
+        return FoldedRecord(offset, record, folded)
 
-    def _note_mark(self, offset: int, mark: SnapshotMark) -> None:
+    def _add_mark(self, offset: int, mark: SnapshotMark) -> None:
         if mark.through >= offset or mark.rules != RULES_VERSION:
             # A snapshot cannot cover what comes after its own mark. Taken
             # over, it would put this reader beyond the log's end, where it
             # sees no edit any more.
             return
-        self.marks = {at: kept for at, kept in self.marks.items() if at >= self.first}
+        self.marks = {at: old for at, old in self.marks.items() if at >= self.first}
         self.marks[offset] = mark
 
-    def _bridge(self, kept: LogSlice) -> Result[Step, LogError]:
+    def _recover_from_gap(self, log_slice: LogSlice) -> Result[Step, LogError]:
         """Look for a snapshot beyond the hole.
 
         Folding on over the hole would judge edits against tables that lack
@@ -151,20 +151,20 @@
         """
         self.marks = {}
         while True:
-            for record in kept.records:
+            for record in log_slice.records:
                 decoded = codec.decode(record.data, TablesRecord).value_or(None)
                 if isinstance(decoded, SnapshotMark):
-                    self._note_mark(record.offset, decoded)
-            if not kept.records or kept.records[-1].offset + 1 >= kept.end:
+                    self._add_mark(record.offset, decoded)
+            if not log_slice.records or log_slice.records[-1].offset + 1 >= log_slice.end:
                 break
-            read = self.log.read(TABLES_STREAM, kept.records[-1].offset + 1)
+            read = self.log.read(TABLES_STREAM, log_slice.records[-1].offset + 1)
             if not isinstance(read, Success):
                 return Failure(read.failure())
-            kept = read.unwrap()
+            log_slice = read.unwrap()
         for mark in sorted(self.marks.values(), key=lambda mark: mark.through, reverse=True):
             if mark.through <= self.tables.through:
                 break
-            loaded = load(self.log, mark, self.pause)
+            loaded = load_snapshot(self.log, mark, self.pause)
             if isinstance(loaded, Success):
                 # Reading goes on right behind what the snapshot covers, not
                 # behind its mark: an edit that was accepted while it was being
@@ -174,7 +174,7 @@
         return Success(Step(gap=True))
 
 
-def load(
+def load_snapshot(
     log: LogStore, mark: SnapshotMark, pause: Callable[[], None] = no_pause
 ) -> Result[Tables, str]:
     """Read the chunks of a snapshot; fails if one of them is gone or damaged."""
@@ -193,7 +193,7 @@
     return snapshots.decode(mark.through, mark.digest, chunks, pause)
 
 
-def write(
+def write_snapshot(
     log: LogStore, snapshot: snapshots.Snapshot, superseded: Callable[[], bool]
 ) -> Result[int, str]:
     """Append the chunks and then the mark that makes them count.
--- a/agaterail/targets.py
+++ b/agaterail/targets.py
@@ -11,9 +11,9 @@
 
     from agaterail.tables import Pool, TargetEntry
 
-UNREACHABLE_S = 1.0
-FIRST_REFUSAL_S = 1.0
-MAX_REFUSAL_S = 8.0
+UNREACHABLE_PAUSE_S = 1.0
+INITIAL_REFUSAL_PAUSE_S = 1.0
+MAX_REFUSAL_PAUSE_S = 8.0
 
 
 @attrs.define
@@ -48,7 +48,7 @@
         return not self.leaving and now >= max(self.unreachable_until, self.refusing_until)
 
 
-class TargetBook:
+class TargetStateTable:
     """States of all targets that the tables name."""
 
     def __init__(self) -> None:
@@ -75,7 +75,7 @@
         """Leave a target out for a while after a failed connection."""
         state = self.states.get(address)
         if state is not None:
-            state.unreachable_until = now + UNREACHABLE_S
+            state.unreachable_until = now + UNREACHABLE_PAUSE_S
 
     def mark_refusing(self, address: str, now: float) -> bool:
         """Leave a target out that refused work; False when it already is.
@@ -86,9 +86,9 @@
         state = self.states.get(address)
         if state is None or now < state.refusing_until:
             return False
-        span_s = min(MAX_REFUSAL_S, FIRST_REFUSAL_S * 2.0**state.refusals)
+        pause_s = min(MAX_REFUSAL_PAUSE_S, INITIAL_REFUSAL_PAUSE_S * 2.0**state.refusals)
         state.refusals += 1
-        state.refusing_until = now + span_s
+        state.refusing_until = now + pause_s
         return True
 
     def mark_serving(self, address: str) -> None:
@@ -99,10 +99,10 @@
 
     def set_leaving(self, addresses: set[str]) -> list[str]:
         """Mark exactly these targets as leaving and return the newly marked."""
-        newly: list[str] = []
+        newly_leaving: list[str] = []
         for state in self.states.values():
             leaving = state.address in addresses
             if leaving and not state.leaving:
-                newly.append(state.address)
+                newly_leaving.append(state.address)
             state.leaving = leaving
-        return newly
+        return newly_leaving
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -10,7 +10,7 @@
 from agaterail import editing
 from agaterail.application import Application
 from agaterail.controllers.snapshots import SnapshotsController
-from agaterail.controllers.startup import StartUpController
+from agaterail.controllers.startup import StartupController
 from agaterail.controllers.tables import tables_controller
 from agaterail.hostlists import Host, HostList, HostRole, HostState
 from agaterail.logstore.memory import MemoryLogStore
@@ -76,7 +76,7 @@
             parts=PARTS,
         )
         startup = app.controllers["startup"]
-        assert isinstance(startup, StartUpController)
+        assert isinstance(startup, StartupController)
         startup.spawn = run_now
         startup.random = random.Random(self.random.random())
         tables_controller(app).random = random.Random(self.random.random())
--- a/tests/test_agaterail/test_controllers/test_drain.py
+++ b/tests/test_agaterail/test_controllers/test_drain.py
@@ -14,7 +14,7 @@
 from agaterail.peers import Peers
 from agaterail.peers.memory import MemoryNetwork, MemoryTransport
 from agaterail.settings import Settings
-from agaterail.targets import TargetBook
+from agaterail.targets import TargetStateTable
 from agaterail.timers import ManualTimerService
 from standins.load import StreamClient, Workload
 from tests.support import engine_pool
@@ -42,7 +42,7 @@
         self.app = make_app(drain_lag_s=5.0, drain_limit_s=60.0)
         self.drain = self.app.controllers["drain"]
         self.closed = []
-        self.drain.closers.append(lambda: self.closed.append(True))
+        self.drain.close_callbacks.append(lambda: self.closed.append(True))
 
     def advance(self, seconds):
         self.app.timers.advance(seconds)
@@ -67,7 +67,7 @@
         self.assertTrue(self.closed)
         self.assertEqual(self.ask()[1], "shutting_down")
 
-    def test_it_waits_for_requests_and_for_their_records(self):
+    def test_draining_waits_for_requests_and_their_records(self):
         # A request ends after the lag and its outcome is not on the log yet,
         # which is down. The process waits for the record, but not for ever.
         self.app.in_flight = 1
@@ -82,7 +82,7 @@
         self.advance(6.0)
         self.assertTrue(self.drain.done.is_set())
 
-    def test_it_ends_at_its_limit(self):
+    def test_draining_ends_at_its_limit(self):
         self.app.in_flight = 1
         self.drain.begin()
         self.advance(64.9)
@@ -104,8 +104,8 @@
             app.timers.advance(1.1)
             self.assertEqual(len(app.targets.usable(pool, app.timers.now())), 1)
 
-    def test_the_host_list_does_not_take_a_refusal_back(self):
-        book, pool = TargetBook(), engine_pool(["127.0.0.1:1"])
+    def test_the_host_list_does_not_clear_a_refusal(self):
+        book, pool = TargetStateTable(), engine_pool(["127.0.0.1:1"])
         book.usable(pool, 0.0)
         book.mark_refusing("127.0.0.1:1", 0.0)
         book.set_leaving(set())
@@ -113,8 +113,8 @@
         book.set_leaving({"127.0.0.1:1"})
         self.assertEqual(book.usable(pool, 99.0), [])
 
-    def test_refusals_in_a_row_are_believed_longer(self):
-        book, pool, now = TargetBook(), engine_pool(["127.0.0.1:1"]), 0.0
+    def test_each_refusal_in_a_row_doubles_the_pause(self):
+        book, pool, now = TargetStateTable(), engine_pool(["127.0.0.1:1"]), 0.0
         book.usable(pool, now)
         spans = []
         for _ in range(6):
--- a/tests/test_agaterail/test_controllers/test_homes.py
+++ b/tests/test_agaterail/test_controllers/test_homes.py
@@ -58,7 +58,7 @@
     return Prefix(keys, (BLOCKS // 2,), BLOCKS * 10 + 5, keys[-1])
 
 
-class Region:
+class InMemoryFleet:
     """Three daemons and five engines without sockets or clocks."""
 
     def __init__(self):
@@ -122,28 +122,28 @@
 
 class HomesControllerTest(unittest.TestCase):
     def setUp(self):
-        self.region = Region()
+        self.fleet = InMemoryFleet()
 
     def test_each_engine_has_one_follower(self):
-        followed = [self.region.followed(app) for app in self.region.apps]
+        followed = [self.fleet.followed(app) for app in self.fleet.apps]
         self.assertEqual(sum(map(len, followed)), len(ENGINES))
         self.assertEqual(set().union(*followed), set(ENGINES))
 
     def test_a_cached_prefix_is_found_from_every_daemon(self):
         prefix = prefix_of(1)
-        self.region.engines[ENGINES[2]].store(prefix)
-        self.region.timers.advance(0.5)
-        for app in self.region.apps:
-            decision = self.region.choose(app, prefix)
+        self.fleet.engines[ENGINES[2]].store(prefix)
+        self.fleet.timers.advance(0.5)
+        for app in self.fleet.apps:
+            decision = self.fleet.choose(app, prefix)
             self.assertEqual((decision.address, decision.hit_blocks), (ENGINES[2], BLOCKS))
 
-    def test_requests_for_one_cold_prefix_meet_at_one_engine(self):
+    def test_requests_for_one_cold_prefix_go_to_one_engine(self):
         # Three daemons get the first requests for a prefix before any event of
         # it was published. Each engine that computes it alone would cost a
         # whole prefill; the first dispatch makes the home expect the blocks.
         chosen = {
-            self.region.dispatch(app, prefix_of(2), number)
-            for number, app in enumerate(self.region.apps)
+            self.fleet.dispatch(app, prefix_of(2), number)
+            for number, app in enumerate(self.fleet.apps)
         }
         self.assertEqual(len(chosen), 1)
 
@@ -152,7 +152,7 @@
         # daemons send twenty prompts that share nothing. If each counted only
         # its own, or none, most would wait at one engine.
         chosen = [
-            self.region.dispatch(self.region.apps[number % 2], prefix_of(number), number)
+            self.fleet.dispatch(self.fleet.apps[number % 2], prefix_of(number), number)
             for number in range(20)
         ]
         counts = [chosen.count(engine) for engine in ENGINES]
@@ -161,93 +161,93 @@
 
     def test_dispatches_of_all_daemons_count_at_the_home(self):
         engine = ENGINES[0]
-        for number, app in enumerate(self.region.apps):
+        for number, app in enumerate(self.fleet.apps):
             app.candidates.tell_dispatch(engine, f"r{number}", 100, b"")
-        load = self.region.home_of(engine).controllers["homes"].followed[engine].load
-        self.assertEqual(load.queue_ms(self.region.timers.now()), 300.0)
-        self.region.apps[0].candidates.tell_finish(engine, "r0", ran=False)
-        self.assertEqual(load.queue_ms(self.region.timers.now()), 200.0)
+        load = self.fleet.home_of(engine).controllers["homes"].followed[engine].load
+        self.assertEqual(load.queue_ms(self.fleet.timers.now()), 300.0)
+        self.fleet.apps[0].candidates.tell_finish(engine, "r0", ran=False)
+        self.assertEqual(load.queue_ms(self.fleet.timers.now()), 200.0)
 
-    def test_a_dead_home_leaves_the_hash_order(self):
+    def test_a_dead_home_falls_back_to_hash_order(self):
         # A home dies and the host list still shows it. Questions to it get no
         # answer; the engine is judged by hash order and own requests, and every
         # request still finds a target.
-        dead = self.region.apps[0]
+        dead = self.fleet.apps[0]
         dead.peers.stop()
-        lost = self.region.followed(dead)
-        asking = self.region.apps[1]
+        lost = self.fleet.followed(dead)
+        asking = self.fleet.apps[1]
         for number in range(10):
-            decision = self.region.choose(asking, prefix_of(number))
+            decision = self.fleet.choose(asking, prefix_of(number))
             self.assertIn(decision.address, ENGINES)
         views = asking.candidates.ask(ENGINES, shorten(prefix_of(1)))
         self.assertEqual(set(views), set(ENGINES) - lost)
 
     def test_all_homes_silent_gives_one_engine_per_prefix(self):
-        for app in self.region.apps:
+        for app in self.fleet.apps:
             app.peers.stop()
         for number in range(10):
             prefix = prefix_of(number)
-            chosen = {self.region.choose(app, prefix).address for app in self.region.apps}
+            chosen = {self.fleet.choose(app, prefix).address for app in self.fleet.apps}
             self.assertLessEqual(len(chosen), 2)
 
-    def test_a_silent_home_is_asked_only_now_and_then(self):
-        dead, asking = self.region.apps[:2]
+    def test_a_silent_home_is_queried_rarely(self):
+        dead, asking = self.fleet.apps[:2]
         dead.peers.stop()
-        engines = sorted(self.region.followed(dead))
+        engines = sorted(self.fleet.followed(dead))
         sent = []
         for _ in range(100):
-            self.region.network.messages = 0
+            self.fleet.network.messages = 0
             asking.candidates.ask(engines, shorten(prefix_of(1)))
-            sent.append(self.region.network.messages)
-            self.region.timers.advance(0.02)
+            sent.append(self.fleet.network.messages)
+            self.fleet.timers.advance(0.02)
         self.assertLess(sum(sent), 25)
         self.assertGreater(sum(sent), 2)
 
     def test_engines_of_a_lost_daemon_are_taken_over_with_their_contents(self):
-        dead, *left = self.region.apps
-        lost = self.region.followed(dead)
+        dead, *left = self.fleet.apps
+        lost = self.fleet.followed(dead)
         prefix = prefix_of(3)
         for engine in lost:
-            self.region.engines[engine].store(prefix)
+            self.fleet.engines[engine].store(prefix)
         dead.controllers["homes"].followed.clear()
         dead.peers.stop()
-        self.region.set_members(left, DAEMONS[1:])
-        self.region.timers.advance(0.5)
-        self.assertEqual(set().union(*map(self.region.followed, left)), set(ENGINES))
+        self.fleet.set_members(left, DAEMONS[1:])
+        self.fleet.timers.advance(0.5)
+        self.assertEqual(set().union(*map(self.fleet.followed, left)), set(ENGINES))
         views = left[0].candidates.ask(sorted(lost), shorten(prefix))
         self.assertEqual({view.depth for view in views.values()}, {BLOCKS})
 
-    def test_an_engine_that_came_back_empty_is_not_relied_on(self):
+    def test_a_restarted_engine_has_no_cached_blocks_and_no_queue(self):
         # The engine crashes and comes back empty under its address. What was
         # cached, queued and expected before must not attract a request.
         engine = ENGINES[0]
-        fake, prefix = self.region.engines[engine], prefix_of(4)
+        fake, prefix = self.fleet.engines[engine], prefix_of(4)
         fake.store(prefix)
-        app = self.region.apps[1]
+        app = self.fleet.apps[1]
         app.candidates.tell_dispatch(engine, "r1", 5000, shorten(prefix_of(5)).keys)
-        self.region.timers.advance(0.5)
+        self.fleet.timers.advance(0.5)
         fake.incarnation, fake.stored = "b", []
         fake.report = load_report(incarnation="b")
-        self.region.timers.advance(0.5)
+        self.fleet.timers.advance(0.5)
         for lost in (prefix, prefix_of(5)):
             view = app.candidates.ask([engine], shorten(lost))[engine]
             self.assertEqual((view.depth, view.queue_ms), (0, 0.0))
 
-    def test_a_lagging_report_of_the_dead_engine_does_not_bring_it_back(self):
+    def test_a_late_report_of_an_old_incarnation_is_ignored(self):
         engine = ENGINES[0]
-        fake, prefix = self.region.engines[engine], prefix_of(4)
+        fake, prefix = self.fleet.engines[engine], prefix_of(4)
         fake.incarnation, fake.stored = "b", []
         fake.store(prefix)
-        self.region.timers.advance(0.5)
+        self.fleet.timers.advance(0.5)
         fake.report = load_report(incarnation="a", waiting_prefill_tokens=9000)
-        self.region.timers.advance(0.5)
-        view = self.region.apps[0].candidates.ask([engine], shorten(prefix))[engine]
+        self.fleet.timers.advance(0.5)
+        view = self.fleet.apps[0].candidates.ask([engine], shorten(prefix))[engine]
         self.assertEqual((view.depth, view.queue_ms), (BLOCKS, 0.0))
 
     def test_contents_are_not_read_after_every_lost_event(self):
         # One event in three is lost. Reading a whole cache each time would use
         # far more of the network than the events.
-        engine = self.region.engines[ENGINES[0]]
+        engine = self.fleet.engines[ENGINES[0]]
         reads = []
         contents = engine.contents
         engine.contents = lambda: reads.append(1) or contents()
@@ -256,5 +256,5 @@
             engine.stored[-1] = CacheEvent(
                 len(engine.stored) + (number % 3 == 0), CacheEventKind.STORED, ()
             )
-            self.region.timers.advance(0.1)
+            self.fleet.timers.advance(0.1)
         self.assertLess(len(reads), 12)
--- a/tests/test_agaterail/test_controllers/test_hosts.py
+++ b/tests/test_agaterail/test_controllers/test_hosts.py
@@ -37,7 +37,7 @@
             rates.append((cluster.network.messages - quiet) / count)
         self.assertLessEqual(rates[1], rates[0])
 
-    def test_a_dead_daemon_leaves_the_view_of_those_who_called_it(self):
+    def test_callers_of_a_dead_daemon_drop_it_from_their_members(self):
         cluster = self.cluster(3)
         seen = []
         cluster.apps[0].events.subscribe(MembersChanged, seen.append)
@@ -49,7 +49,7 @@
         self.assertEqual(seen[-1].members, (address_of(0), address_of(2)))
         self.assertIn(address_of(1), cluster.apps[2].members.live(cluster.timers.now()))
 
-    def test_the_drain_word_goes_to_recent_contacts_only(self):
+    def test_draining_is_announced_to_recent_contacts_only(self):
         cluster = self.cluster(40)
         leaving = cluster.apps[0]
         before = cluster.network.messages
--- a/tests/test_agaterail/test_controllers/test_startup.py
+++ b/tests/test_agaterail/test_controllers/test_startup.py
@@ -26,7 +26,7 @@
     def append(self, record):
         self.cluster.log.append(TABLES_STREAM, codec.encode(record, TablesRecord))
 
-    def test_tables_of_several_chunks_come_over_as_they_are(self):
+    def test_tables_of_several_chunks_are_fetched_unchanged(self):
         app = self.cluster.start(1)
         fetched = fetch_tables(app, address_of(0), 0).unwrap()
         self.assertEqual(fetched, self.old.tables)
@@ -52,7 +52,7 @@
         self.assertGreater(count, 1)
         self.assertEqual(fetched.unwrap().routes["route-7"].row.priority, 5)
 
-    def test_a_damaged_chunk_is_not_served(self):
+    def test_a_damaged_chunk_is_rejected(self):
         handler = self.old.peers.handlers[TablesQuery]
         self.old.peers.handle(
             TablesQuery,
@@ -61,7 +61,7 @@
         app = self.cluster.start(1)
         self.assertNotIsInstance(fetch_tables(app, address_of(0), 0), Success)
 
-    def test_a_peer_with_nothing_is_refused(self):
+    def test_a_peer_without_tables_is_rejected(self):
         app = self.cluster.start(1)
         self.cluster.start(2)
         self.old.peers.handle(TablesQuery, lambda _s, _q: TablesAnswer(-1, "", 0, b""))
--- a/tests/test_agaterail/test_editing.py
+++ b/tests/test_agaterail/test_editing.py
@@ -39,7 +39,7 @@
         self.assertIs(result.unwrap().verdict, Verdict.ACCEPTED)
         self.assertEqual(self.log.appends, 2)
 
-    def test_a_resend_of_an_edit_that_was_hidden_changes_nothing(self):
+    def test_resending_an_edit_after_stale_reads_changes_nothing(self):
         # The answer is lost and reads come from an older point for a while,
         # so the tool sends the same edit again; the first copy counts.
         self.log.lose_answers = 1
@@ -65,7 +65,7 @@
         result = self.submit(edit("e1", put(chat_route(priority=1), 0)), back)
         self.assertIs(result.unwrap().verdict, Verdict.ACCEPTED)
 
-    def test_an_edit_that_no_append_took_is_said_to_have_changed_nothing(self):
+    def test_an_edit_that_was_never_appended_is_reported_as_not_sent(self):
         self.log.down = True
         failure = self.submit(edit("e1", put(chat_route(priority=1), 0))).failure()
         self.assertIs(failure.kind, SubmitError.NOT_SENT)
@@ -76,7 +76,7 @@
         failure = self.submit(edit("e1", put(chat_route(priority=1), 0))).failure()
         self.assertIs(failure.kind, SubmitError.UNKNOWN)
 
-    def test_the_operator_who_lost_the_race_is_told(self):
+    def test_the_losing_edit_of_a_race_reports_a_conflict(self):
         self.append(edit("other", put(chat_route(priority=1), 0), author="ada"))
         folded = self.submit(edit("e1", put(chat_route(priority=2), 0))).unwrap()
         self.assertIs(folded.verdict, Verdict.CONFLICT)
@@ -88,14 +88,14 @@
         self.assertIs(failure.kind, SubmitError.TOO_LARGE)
         self.assertEqual(self.log.appends, 1)
 
-    def test_parts_fit_a_record_and_leave_valid_tables_one_by_one(self):
+    def test_each_part_fits_a_record_and_leaves_valid_tables(self):
         changes = [
             delete(TableName.POOLS, "assistant", 0),
             delete(TableName.ROUTES, "chat", 0),
             *(put(chat_route(f"route-{number}", "new")) for number in range(6000)),
             put(engine_pool(name="new")),
         ]
-        parts = editing.parts_of(changes)
+        parts = editing.split_changes(changes)
         self.assertGreater(len(parts), 1)
         self.assertEqual(sum(len(part) for part in parts), len(changes))
         self.assertIs(parts[-1][-1].action, Action.DELETE)
--- a/tests/test_agaterail/test_filters/test_claim.py
+++ b/tests/test_agaterail/test_filters/test_claim.py
@@ -64,8 +64,8 @@
         """Stop a daemon with all that it had queued."""
         self.daemons[number].stop()
         controller = self.daemons[number].app.controllers["claims"]
-        for link in controller.links.values():
-            link.finishes, link.releases, link.tickets = [], [], []
+        for forwarder in controller.forwarders.values():
+            forwarder.finishes, forwarder.releases, forwarder.tickets = [], [], []
         for worker in controller.workers.values():
             worker.queue = claims.PartitionQueue()
 
--- a/tests/test_agaterail/test_fold.py
+++ b/tests/test_agaterail/test_fold.py
@@ -51,7 +51,7 @@
         self.assertIs(twice.verdict, Verdict.REPEATED)
         self.assertEqual(twice.tables.routes, once.routes)
 
-    def test_one_bad_row_refuses_the_whole_edit(self):
+    def test_one_invalid_row_rejects_the_whole_edit(self):
         tables = first_tables()
         change = edit(
             "e1", put(chat_route(priority=1), 0), put(chat_route("bad", priority=99))
@@ -60,7 +60,7 @@
         self.assertIs(folded.verdict, Verdict.INVALID)
         self.assertEqual(folded.tables.routes, tables.routes)
 
-    def test_a_late_copy_of_a_refused_edit_stays_refused(self):
+    def test_a_late_copy_of_a_rejected_edit_stays_rejected(self):
         # An operator is told of a conflict: another made the row first. The
         # row is deleted; then a copy of the refused edit arrives late and
         # fits again. It would come into force behind its operator's back.
@@ -73,7 +73,7 @@
         self.assertIs(late.verdict, Verdict.REPEATED)
         self.assertEqual(late.tables.routes, {})
 
-    def test_a_late_copy_of_an_invalid_edit_stays_refused(self):
+    def test_a_late_copy_of_an_invalid_edit_stays_rejected(self):
         refused = edit("e0", put(chat_route()))
         tables = fold(Tables(), refused, 0).tables
         tables = fold(tables, edit("e1", put(engine_pool())), 1).tables
@@ -85,6 +85,6 @@
         folded = fold(tables, mark, 1)
         self.assertEqual(folded.tables, attrs.evolve(tables, through=1))
 
-    def test_a_record_of_other_rules_is_judged_by_nobody(self):
+    def test_a_record_of_an_unknown_rules_version_is_rejected(self):
         record = attrs.evolve(edit("e0", put(engine_pool())), rules=99)
         self.assertIs(fold(Tables(), record, 0).verdict, Verdict.UNKNOWN_RULES)
--- a/tests/test_agaterail/test_policies/test_cost.py
+++ b/tests/test_agaterail/test_policies/test_cost.py
@@ -7,7 +7,7 @@
 from agaterail.policies import Placement
 from agaterail.policies.cost import CANDIDATES, CostPolicy, PoolRanking
 from agaterail.prefix import Prefix
-from agaterail.targets import TargetBook
+from agaterail.targets import TargetStateTable
 from agaterail.util.ring import number_of
 from tests.support import chat_route, engine_pool
 
@@ -27,7 +27,7 @@
 
 
 def states(*addresses, **fields):
-    book = TargetBook()
+    book = TargetStateTable()
     pool = engine_pool(addresses or ADDRESSES)
     found = book.usable(pool, 0.0)
     for state in found:
--- a/tests/test_agaterail/test_startup.py
+++ b/tests/test_agaterail/test_startup.py
@@ -3,16 +3,22 @@
 import random
 import unittest
 
-from agaterail.startup import ANSWER_WAIT_S, HOSTS_WAIT_S, LOG_WAIT_S, Decision, StartUp
+from agaterail.startup import (
+    ANSWER_WAIT_S,
+    HOST_LIST_WAIT_S,
+    LOG_WAIT_S,
+    Decision,
+    StartupPlan,
+)
 
 PEERS = [f"10.0.0.{number}:1" for number in range(1, 21)]
 
 
-class StartUpTest(unittest.TestCase):
+class StartupPlanTest(unittest.TestCase):
     def setUp(self):
-        self.plan = StartUp(random.Random(3), 0.0, asked=4, wanted=2)
+        self.plan = StartupPlan(random.Random(3), 0.0, peers_per_round=4, sufficient_answers=2)
 
-    def test_the_floor_of_the_peers_holds_against_a_log_that_answers_first(self):
+    def test_a_log_older_than_the_peers_is_not_served(self):
         # The log answers from an older point before any peer has answered.
         # Serving at once would take back what this daemon served before.
         asked = self.plan.next_round(PEERS, 0.0)
@@ -21,23 +27,23 @@
         self.plan.round.on_answer(asked[0], 9)
         self.plan.round.on_answer(asked[1], 8)
         self.assertIs(self.plan.decide(7, 0.02), Decision.FETCH)
-        self.assertEqual(self.plan.round.best, asked[0])
+        self.assertEqual(self.plan.round.best_peer, asked[0])
         self.assertIs(self.plan.decide(9, 0.03), Decision.SERVE)
 
-    def test_stalled_peers_hold_a_start_up_for_one_wait_only(self):
+    def test_stalled_peers_delay_startup_by_one_answer_wait(self):
         self.plan.next_round(PEERS, 0.0)
         self.plan.log.at_end = True
         self.assertIs(self.plan.decide(7, ANSWER_WAIT_S / 2), Decision.WAIT)
         self.assertIs(self.plan.decide(7, ANSWER_WAIT_S), Decision.SERVE)
 
-    def test_a_log_that_does_not_answer_is_waited_for_a_moment_only(self):
+    def test_a_silent_log_delays_startup_by_the_log_wait(self):
         asked = self.plan.next_round(PEERS, 0.0)
         for address in asked:
             self.plan.round.on_answer(address, 5)
         self.assertIs(self.plan.decide(-1, LOG_WAIT_S / 2), Decision.WAIT)
         self.assertIs(self.plan.decide(-1, LOG_WAIT_S), Decision.FETCH)
 
-    def test_all_peers_are_asked_before_one_is_asked_again(self):
+    def test_all_peers_are_queried_before_one_is_queried_again(self):
         seen = set()
         now = 0.0
         for _ in range(len(PEERS) // 4):
@@ -49,21 +55,21 @@
             now += 2.0
         self.assertEqual(seen, set(PEERS))
 
-    def test_a_peer_that_cannot_give_its_tables_makes_room_for_the_next(self):
+    def test_a_failed_fetch_moves_on_to_the_next_peer(self):
         asked = self.plan.next_round(PEERS, 0.0)
         self.plan.log.failed = True
         for address, through in zip(asked, (9, 8, 8, 8), strict=True):
             self.plan.round.on_answer(address, through)
-        self.plan.round.on_failure(self.plan.round.best)
+        self.plan.round.on_failure(self.plan.round.best_peer)
         self.assertIs(self.plan.decide(-1, 0.02), Decision.FETCH)
         self.assertEqual(self.plan.round.floor, 8)
 
-    def test_a_host_list_that_does_not_answer_is_not_waited_for_long(self):
+    def test_a_silent_host_list_delays_startup_by_its_wait(self):
         self.assertEqual(self.plan.next_round(None, 0.01), ())
         self.assertIsNone(self.plan.round)
-        self.plan.next_round(None, HOSTS_WAIT_S)
+        self.plan.next_round(None, HOST_LIST_WAIT_S)
         self.plan.log.at_end = True
-        self.assertIs(self.plan.decide(7, HOSTS_WAIT_S), Decision.SERVE)
+        self.assertIs(self.plan.decide(7, HOST_LIST_WAIT_S), Decision.SERVE)
 
     def test_nothing_is_served_without_log_and_peers(self):
         self.plan.next_round([], 0.0)
--- a/tests/test_agaterail/test_tables_reader.py
+++ b/tests/test_agaterail/test_tables_reader.py
@@ -41,7 +41,7 @@
         read_all(self.reader)
 
     def write(self, tables):
-        return tables_reader.write(self.log, snapshots.encode(tables), not_superseded)
+        return tables_reader.write_snapshot(self.log, snapshots.encode(tables), not_superseded)
 
     def change(self, edit_id, priority, version):
         return append(self.log, edit(edit_id, put(chat_route(priority=priority), version)))
@@ -62,7 +62,7 @@
         self.assertEqual(self.priority_of(reader), 1)
         self.assertEqual(reader.tables.through, 2)
 
-    def test_a_late_snapshot_takes_nobody_back(self):
+    def test_a_late_snapshot_does_not_revert_newer_edits(self):
         # A paused daemon writes a snapshot of old tables after newer edits.
         old = self.reader.tables
         self.change("e1", 1, 0)
@@ -71,7 +71,7 @@
         read_all(self.reader)
         self.assertEqual(self.priority_of(self.reader), 1)
 
-    def test_a_hole_is_not_folded_over(self):
+    def test_a_gap_is_not_folded_over(self):
         # Records 1 and 2 expire unread; record 3 changes what record 2 wrote.
         # Judged without 1 and 2 it would be a conflict here and accepted
         # everywhere else, and this daemon would differ for good.
@@ -84,7 +84,7 @@
         self.assertEqual(self.reader.tables.through, 0)
         self.assertEqual(self.priority_of(self.reader), 5)
 
-    def test_a_snapshot_closes_a_hole_for_a_reader_that_fell_behind(self):
+    def test_a_snapshot_closes_the_gap_of_a_reader_that_fell_behind(self):
         other = TablesReader(self.log)
         version = 0
         for number in range(1, 5):
@@ -97,7 +97,7 @@
         read_all(other)
         self.assertEqual(self.reader.tables, other.tables)
 
-    def test_a_snapshot_with_an_expired_chunk_gives_way_to_an_older_whole_one(self):
+    def test_an_older_complete_snapshot_replaces_one_with_an_expired_chunk(self):
         # The first chunk of the newest snapshot expires between its write and
         # the read; the older snapshot still reaches the present by its edits.
         old = self.reader.tables
@@ -111,11 +111,11 @@
         self.assertFalse(read_all(reader).gap)
         self.assertEqual(self.priority_of(reader), 1)
 
-    def test_chunks_without_a_mark_are_not_looked_at(self):
+    def test_chunks_without_a_mark_are_ignored(self):
         # The writer dies between the last chunk and the mark.
         calls = iter([False, True])
         snapshot = snapshots.encode(self.reader.tables)
-        written = tables_reader.write(self.log, snapshot, lambda: next(calls))
+        written = tables_reader.write_snapshot(self.log, snapshot, lambda: next(calls))
         self.assertNotIsInstance(written, Success)
         self.log.expire(TABLES_STREAM, 1)
         reader = TablesReader(self.log)
@@ -130,17 +130,17 @@
         decoded = snapshots.decode(snapshot.through + 1, snapshot.digest, snapshot.chunks)
         self.assertNotIsInstance(decoded, Success)
 
-    def test_a_mark_that_covers_what_comes_after_it_is_ignored(self):
+    def test_a_mark_that_covers_later_records_is_ignored(self):
         # Taken over, it would put a reader beyond the log's end, where it sees
         # no edit any more.
         ahead = snapshots.encode(attrs.evolve(self.reader.tables, through=50))
-        tables_reader.write(self.log, ahead, not_superseded)
+        tables_reader.write_snapshot(self.log, ahead, not_superseded)
         self.log.expire(TABLES_STREAM, 1)
         reader = TablesReader(self.log)
         self.assertTrue(read_all(reader).gap)
         self.assertEqual(reader.tables.through, -1)
 
-    def test_a_malformed_record_does_not_hold_up_the_edits_behind_it(self):
+    def test_a_malformed_record_does_not_block_later_edits(self):
         # The tables used to stay in front of the record and read it again and
         # again, 50 times a second, as long as it was the last one.
         self.log.append(TABLES_STREAM, b"\xc1 no record")
@@ -148,7 +148,7 @@
         read_all(self.reader)
         self.assertEqual(self.priority_of(self.reader), 1)
 
-    def test_a_log_that_names_an_end_and_returns_nothing_ends_the_reading(self):
+    def test_an_empty_read_counts_as_the_end_of_the_log(self):
         # The commands would otherwise ask it again and again without a pause.
         class EmptyLog(MemoryLogStore):
             def read(self, *arguments, **named):
@@ -156,7 +156,7 @@
 
         self.assertTrue(TablesReader(EmptyLog()).step().unwrap().at_end)
 
-    def test_tables_adopted_during_a_waiting_read_are_not_taken_back(self):
+    def test_a_long_poll_does_not_revert_tables_adopted_meanwhile(self):
         # A peer's newer tables arrive while the read of older records is
         # still waiting; folding these on the new tables would be wrong.
         ahead = attrs.evolve(self.reader.tables, through=7)
@@ -171,10 +171,10 @@
         waiting.streams, waiting.next_offset = self.log.streams, self.log.next_offset
         self.change("e1", 1, 0)
         reader.log = waiting
-        self.assertEqual(reader.step().unwrap().judged, ())
+        self.assertEqual(reader.step().unwrap().records, ())
         self.assertEqual(reader.tables.through, 7)
 
-    def test_equal_tables_have_equal_digests_whatever_way_they_came(self):
+    def test_equal_tables_have_equal_digests_regardless_of_source(self):
         self.change("e1", 1, 0)
         append(self.log, edit("e2", put(chat_route("another"))))
         read_all(self.reader)
@@ -189,7 +189,7 @@
         row = {"later": 1, "name": "chat", "workspace": "w"}
         row |= {"callers": ["0" * 64], "pool": "assistant"}
         fields = {"row": row, "version": 3}
-        chunk = zlib.compress(msgpack.packb([snapshots.ROUTE, fields]))
+        chunk = zlib.compress(msgpack.packb([snapshots.ROUTE_TAG, fields]))
         digest = snapshots.digest_of(5, [chunk])
         tables = snapshots.decode(5, digest, [chunk]).unwrap()
         self.assertEqual(tables.routes["chat"].row.callers, ("0" * 64,))
@@ -210,14 +210,14 @@
     def schedule(self, seed=1, interval_s=3600.0):
         return SnapshotSchedule(interval_s, random.Random(seed))
 
-    def test_a_fresh_snapshot_of_another_daemon_suppresses_the_own(self):
+    def test_a_fresh_snapshot_of_another_daemon_suppresses_a_write(self):
         schedule = self.schedule()
         view = StreamView(through=400, first=0, end=401)
         self.assertFalse(schedule.due(view, 0.0))
         schedule.on_mark(399, 10.0)
         self.assertFalse(schedule.due(view, 3000.0))
 
-    def test_a_herd_writes_few_snapshots(self):
+    def test_simultaneous_starts_write_few_snapshots(self):
         # 410 daemons start at once on a log that has begun to expire.
         daemons = [self.schedule(seed) for seed in range(410)]
         written = 0
@@ -246,14 +246,14 @@
         at = next(now for now in range(0, 4 * 3600, 10) if schedule.due(view, now))
         self.assertLess(at, 2 * 3600)
 
-    def test_records_close_to_expiry_bring_a_snapshot_early(self):
+    def test_records_close_to_expiry_trigger_an_early_snapshot(self):
         schedule = self.schedule()
         schedule.on_mark(100, 0.0)
         view = StreamView(through=200, first=95, end=201)
         schedule.due(view, 0.0)
         self.assertTrue(schedule.due(view, 61.0))
 
-    def test_a_mark_alone_does_not_bring_the_next_snapshot(self):
+    def test_a_mark_alone_does_not_trigger_the_next_snapshot(self):
         schedule = self.schedule()
         schedule.on_mark(5, 0.0)
         self.assertFalse(schedule.due(StreamView(through=6, first=0, end=7), 3000.0))
--- a/tests/test_agaterail/test_tables_stateful.py
+++ b/tests/test_agaterail/test_tables_stateful.py
@@ -48,9 +48,9 @@
 
     def __init__(self):
         super().__init__()
-        self.after = {NO_VERSION: {}}
-        self.judged_ids = set()
-        self.racing = []
+        self.expected_routes = {NO_VERSION: {}}
+        self.seen_ids = set()
+        self.concurrent_edits = []
 
     def append(self, stream, data):
         before = self.next_offset.get(stream, 0)
@@ -58,18 +58,20 @@
         if self.next_offset.get(stream, 0) == before:
             return result
         if stream == TABLES_STREAM:
-            self.after[before] = self.judge(dict(self.after[before - 1]), data, before)
-        elif self.racing:
-            super_lose, self.lose_answers = self.lose_answers, 0
-            self.append(TABLES_STREAM, self.racing.pop())
-            self.lose_answers = super_lose
+            self.expected_routes[before] = self.apply_record(
+                dict(self.expected_routes[before - 1]), data, before
+            )
+        elif self.concurrent_edits:
+            saved_lose_answers, self.lose_answers = self.lose_answers, 0
+            self.append(TABLES_STREAM, self.concurrent_edits.pop())
+            self.lose_answers = saved_lose_answers
         return result
 
-    def judge(self, routes, data, offset):
+    def apply_record(self, routes, data, offset):
         record = codec.decode(data, TablesRecord).value_or(None)
-        if not isinstance(record, Edit) or record.edit_id in self.judged_ids:
+        if not isinstance(record, Edit) or record.edit_id in self.seen_ids:
             return routes
-        self.judged_ids.add(record.edit_id)
+        self.seen_ids.add(record.edit_id)
         changed = dict(routes)
         for change in record.changes:
             if change.table is TableName.POOLS:
@@ -150,7 +152,7 @@
         name = f"route-{route}"
         version = self.seen_by_operator().version_of(TableName.ROUTES, name)
         change = self.next_edit(put(chat_route(name, priority=priority), version))
-        self.log.racing = [codec.encode(change, TablesRecord)]
+        self.log.concurrent_edits = [codec.encode(change, TablesRecord)]
 
     @rule(down=st.booleans())
     def switch_log(self, down):
@@ -231,7 +233,7 @@
     def serves_only_what_was_accepted_and_never_goes_back(self):
         for number, app in self.cluster.apps.items():
             tables = app.tables
-            assert routes_of(tables) == self.log.after[tables.through]
+            assert routes_of(tables) == self.log.expected_routes[tables.through]
             if app.ready:
                 assert tables.through >= self.served.get(number, NO_VERSION)
                 self.served[number] = tables.through
@@ -247,7 +249,7 @@
                 self.cluster.start(number)
         self.cluster.run(200, pause_s=2.0)
         self.serves_only_what_was_accepted_and_never_goes_back()
-        last = self.log.after[self.cluster.end() - 1]
+        last = self.log.expected_routes[self.cluster.end() - 1]
         for app in self.cluster.apps.values():
             assert routes_of(app.tables) == last, "a daemon did not converge"
             assert app.tables.through == self.cluster.end() - 1
@@ -257,8 +259,8 @@
 TablesMachineTest = TablesMachine.TestCase
 
 
-class HerdTest(unittest.TestCase):
-    def test_a_herd_finds_the_one_old_peer_while_the_log_is_down(self):
+class SimultaneousStartTest(unittest.TestCase):
+    def test_starting_daemons_find_the_one_serving_peer_while_the_log_is_down(self):
         # All daemons but one are killed at once and started again while the
         # log is down. Most peers that they ask know nothing themselves; all
         # must come to serve what the old one serves, and nothing older.
@@ -275,7 +277,7 @@
             self.assertTrue(app.ready)
             self.assertEqual(app.tables.through, 0)
 
-    def test_a_herd_without_any_tables_does_not_flood_itself(self):
+    def test_daemons_without_tables_query_each_other_at_a_bounded_rate(self):
         # All daemons are killed at once and start while the log is down. Each
         # answers at once that it serves nothing, so each used to ask again at
         # each step, 400 messages a second.
@@ -299,7 +301,7 @@
         cluster.run(5)
         self.assertTrue(app.ready)
 
-    def test_a_stale_log_does_not_take_a_restarted_daemon_back(self):
+    def test_a_stale_log_does_not_revert_a_restarted_daemon(self):
         # The log answers from an older point; a peer has read the newest
         # edit. The daemon served it before its restart.
         cluster = Cluster()
@@ -314,7 +316,7 @@
         cluster.run(2, pause_s=0.1)
         self.assertEqual(app.tables.through, 1)
 
-    def test_daemons_bring_the_state_back_after_an_outage_past_retention(self):
+    def test_daemons_restore_the_state_after_an_outage_past_retention(self):
         cluster = Cluster()
         log = cluster.log
         log.append(TABLES_STREAM, codec.encode(edit("e", put(engine_pool())), TablesRecord))
@@ -334,4 +336,4 @@
         reader = TablesReader(log)
         editing.read_to_end(reader)
         self.assertEqual(set(reader.tables.pools), {"assistant"})
-        self.assertIsInstance(tables_reader.load(log, marks[0]), Success)
+        self.assertIsInstance(tables_reader.load_snapshot(log, marks[0]), Success)
--- a/tools/bench_index.py
+++ b/tools/bench_index.py
@@ -20,7 +20,7 @@
 from agaterail.policies.cost import CostPolicy
 from agaterail.prefix import Prefix
 from agaterail.tables import Pool, PoolKind, Route, TargetEntry
-from agaterail.targets import TargetBook
+from agaterail.targets import TargetStateTable
 
 INDEX_SIZES = (1_000, 10_000, 57_000, 200_000)
 ENGINE_COUNTS = (5, 40, 600)
@@ -132,7 +132,7 @@
     choose = random.Random(SEED)
     pool = _pool(count)
     route = Route(name="chat", workspace="ws", callers=(), pool="assistant")
-    policy, book = CostPolicy("a", seed=SEED), TargetBook()
+    policy, book = CostPolicy("a", seed=SEED), TargetStateTable()
     prefixes = [_prefix(choose) for _ in range(DECISIONS if new_keys else 50)]
     started = time.process_time()
     _decide(policy, book, pool, route, prefixes[0], 0.0)
@@ -151,7 +151,12 @@
 
 
 def _decide(
-    policy: CostPolicy, book: TargetBook, pool: Pool, route: Route, prefix: Prefix, now: float
+    policy: CostPolicy,
+    book: TargetStateTable,
+    pool: Pool,
+    route: Route,
+    prefix: Prefix,
+    now: float,
 ) -> None:
     placement = Placement(pool=pool, route=route, prefix=prefix, deadline_ms=1e4, now=now)
     entries = policy.candidates(placement, ())
--- a/tools/claims_arithmetic.py
+++ b/tools/claims_arithmetic.py
@@ -21,7 +21,7 @@
 from returns.result import Success
 
 from agaterail.claims import PARTITIONS
-from agaterail.controllers.claims import GROUP_S
+from agaterail.controllers.claims import BATCH_DELAY_S
 from agaterail.util.address import Address
 from agaterail.util.httpconn import HttpConnections
 from tools.fleet import Fleet, api_key_of, apply_tables, call, digest_of
@@ -54,7 +54,7 @@
     most once an interval, and below that once for each busy interval.
     """
     entries = records_per_claim * claims_per_s / PARTITIONS
-    return PARTITIONS * entries / (1.0 + entries * GROUP_S)
+    return PARTITIONS * entries / (1.0 + entries * BATCH_DELAY_S)
 
 
 def main() -> None:
@@ -79,7 +79,7 @@
             f"{TARGET_DAEMONS} daemons, {share:.0%} of {TARGET_REQUESTS_PER_S}/s"
             f" non-idempotent ({rate:.0f} claims/s): {computed_appends(rate):.0f} appends/s"
         )
-    print(f"bound at any rate: {PARTITIONS / GROUP_S:.0f} appends/s")
+    print(f"bound at any rate: {PARTITIONS / BATCH_DELAY_S:.0f} appends/s")
 
 
 def measure(daemons: int, rate: float, seconds: float, seed: int) -> Measured:
--- a/tools/measure_apply.py
+++ b/tools/measure_apply.py
@@ -21,7 +21,7 @@
 
 from agaterail import editing
 from agaterail.controllers.startup import OffsetAnswer, OffsetQuery
-from agaterail.controllers.tables import WAIT_S
+from agaterail.controllers.tables import LONG_POLL_S
 from agaterail.logstore.http import HttpLogStore
 from agaterail.peers import Peers
 from agaterail.peers.datagram import DatagramTransport
@@ -95,7 +95,7 @@
         per_edit = count * edits * busy["per_s"]
         print(f"apply.log_reads_per_daemon_edit {busy['reads'] / per_edit:.2f}")
         print(f"apply.log_bytes_per_daemon_edit {busy['read_bytes'] / per_edit:.0f}")
-        print(f"target.idle_log_reads_per_s {TARGET_DAEMONS / WAIT_S:.0f}")
+        print(f"target.idle_log_reads_per_s {TARGET_DAEMONS / LONG_POLL_S:.0f}")
         _print("outage.in_force_after_return_ms", [self._outage(n) for n in range(OUTAGES)])
         self.peers.stop()
 
--- a/tools/measure_startup.py
+++ b/tools/measure_startup.py
@@ -20,7 +20,7 @@
 
 import attrs
 
-from agaterail.startup import Decision, StartUp
+from agaterail.startup import Decision, StartupPlan
 from agaterail.util.address import Address
 from tools.fleet import Daemon, Fleet, api_key_of, tables_toml
 
@@ -96,7 +96,7 @@
 
 def _start(source: random.Random, peers: dict[str, Peer], asked: int, wanted: int) -> Start:
     """Start with the log down; only the peers can answer."""
-    plan = StartUp(source, 0.0, asked, wanted)
+    plan = StartupPlan(source, 0.0, asked, wanted)
     plan.log.failed = True
     now, messages = 0.0, 0
     while now < LIMIT_S:
@@ -104,7 +104,7 @@
         if current is not None:
             for address in sorted(current.pending):
                 answer_s = peers[address].answer_s
-                if answer_s is not None and now - current.asked_at >= answer_s:
+                if answer_s is not None and now - current.started_at >= answer_s:
                     current.on_answer(address, peers[address].through)
         if plan.decide(-1, now) is Decision.FETCH and plan.round is not None:
             return Start(now, plan.round.floor, messages)
--- a/tools/slopes/receiver.py
+++ b/tools/slopes/receiver.py
@@ -8,7 +8,7 @@
 from agaterail.policies.cost import CostPolicy
 from agaterail.prefix import Prefix
 from agaterail.tables import Pool, PoolKind, Route, TargetEntry
-from agaterail.targets import TargetBook
+from agaterail.targets import TargetStateTable
 from tools.slopes.fit import Point, Slope, cpu_s, fit
 from tools.slopes.home import key_of, view_of
 
@@ -26,7 +26,7 @@
 
 def _decide(decisions: int, engines: int) -> Point:
     pool = pool_of(engines)
-    book = TargetBook()
+    book = TargetStateTable()
     policy = CostPolicy("a", seed=1)
     route = Route(name="r", workspace="w", callers=(), pool="p", models=("atlas",))
     keys = [key_of(number) for number in range(decisions)]
