--- a/agaterail/codec.py
+++ b/agaterail/codec.py
@@ -1,4 +1,4 @@
-"""Binary form of records and messages: MessagePack by cattrs."""
+"""Encode records and messages as MessagePack with cattrs."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def encode(value: Any, kind: Any = None) -> bytes:
-    """Encode an attrs object; ``kind`` is its union type when it has one."""
+    """Encode an attrs object; ``kind`` is its union type, if any."""
     return msgpack.packb(converter.unstructure(value, unstructure_as=kind), use_bin_type=True)
 
 
 def decode(data: bytes, kind: Any) -> Result[Any, str]:
-    """Decode bytes of an untrusted source.
+    """Decode bytes from an untrusted source.
 
     Returns
     -------
     Result
-        The object, or a sentence that says why the bytes are not one.
+        The object, or a message that says why the bytes cannot be decoded.
     """
     try:
         return Success(converter.structure(msgpack.unpackb(data, raw=False), kind))
--- a/agaterail/controllers/__init__.py
+++ b/agaterail/controllers/__init__.py
@@ -1,4 +1,4 @@
-"""Controllers: parts that bring one piece of state up to date, step by step."""
+"""Controllers, each of which reconciles one piece of state periodically."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Controller(abc.ABC):
-    """One piece of state with one reconcile step.
+    """Base class of controllers with one reconcile step.
 
     Attributes
     ----------
@@ -22,7 +22,7 @@
 
     @abc.abstractmethod
     def reconcile(self) -> None:
-        """Take one step towards the desired state."""
+        """Take one step toward the desired state."""
 
     def status(self) -> dict[str, Any]:
         """Return what the ``status`` command shows of this controller."""
--- a/agaterail/controllers/claims.py
+++ b/agaterail/controllers/claims.py
@@ -1,4 +1,4 @@
-"""Keep the claims of requests that run once: append, read back, hand over."""
+"""Append claims of at-most-once requests, read their verdicts and forward claims."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 @peer_message
 @attrs.frozen
 class HandClaims:
-    """Claims, releases and finishes for the owner of their partitions."""
+    """Claims, releases and finishes forwarded to the owner of their partitions."""
 
     batch: ClaimBatch
 
@@ -56,7 +56,7 @@
 @peer_message
 @attrs.frozen
 class ClaimVerdicts:
-    """Verdicts that the owner read back in time."""
+    """Verdicts that the owner read back before its wait ended."""
 
     verdicts: tuple[Verdict, ...]
 
@@ -64,7 +64,7 @@
 @peer_message
 @attrs.frozen
 class AttemptQuery:
-    """Question whether the receiver still runs an attempt."""
+    """Asks the receiver whether it still runs an attempt."""
 
     attempt: str
 
@@ -72,13 +72,13 @@
 @peer_message
 @attrs.frozen
 class AttemptStatus:
-    """Answer to an attempt query."""
+    """Reply to an ``AttemptQuery``."""
 
     running: bool
 
 
 class PartitionWorker:
-    """Appends and reads one partition."""
+    """Appends to and reads one partition of the claims log."""
 
     def __init__(self, number: int, log_store: LogStore, timers: TimerService) -> None:
         self.stream = claims.stream_of(number)
@@ -93,7 +93,7 @@
         self.idle_steps = 0
 
     def submit(self, claim: Claim, listener: Callable[[Verdict], None]) -> None:
-        """Queue a claim and call back with its verdict."""
+        """Queue a claim and pass its verdict to the listener."""
         if not self.queue.submit(claim):
             listener(Verdict(attempt=claim.attempt, kind=VerdictKind.UNAVAILABLE))
             return
@@ -101,7 +101,7 @@
         self.schedule(BATCH_DELAY_S)
 
     def release(self, release: Release) -> None:
-        """Queue the release of an attempt that will not run."""
+        """Queue the release of an attempt that will never run."""
         self.queue.abandon(release.attempt)
         self.listeners.pop(release.attempt, None)
         self.queue.release(release)
@@ -113,7 +113,7 @@
         self.schedule(BATCH_DELAY_S)
 
     def set_following(self, wanted: bool) -> None:
-        """Read new records as they come, or stop to."""
+        """Start or stop following the partition with long polls."""
         if wanted and self.follow_subscription is None:
             self.follow_subscription = self.timers.every(FOLLOW_PERIOD_S, self._follow)
         if not wanted and self.follow_subscription is not None:
@@ -121,14 +121,14 @@
             self.follow_subscription = None
 
     def schedule(self, delay_s: float) -> None:
-        """Flush after a delay, in which more entries join the batch."""
+        """Flush after a delay in which more entries can join the batch."""
         self.idle_steps = 0
         if not self.scheduled and not self.flushing:
             self.scheduled = True
             self.timers.after(delay_s, self.flush)
 
     def flush(self) -> None:
-        """Append one batch and read up to it."""
+        """Append one batch and read the partition up to its end."""
         self.scheduled = False
         if self.flushing:
             return
@@ -181,7 +181,7 @@
 
 
 class OwnerForwarder:
-    """Hands entries to the owner of their partitions, one call at a time."""
+    """Forwards entries to the owner of their partitions, one call at a time."""
 
     def __init__(self, controller: ClaimsController, owner: str) -> None:
         self.controller = controller
@@ -192,7 +192,7 @@
         self.scheduled = False
 
     def schedule(self) -> None:
-        """Send soon; entries that come meanwhile join the message."""
+        """Send after a short delay in which more entries can join the message."""
         if not self.scheduled:
             self.scheduled = True
             self.controller.app.timers.after(FORWARD_BATCH_DELAY_S, self._send)
@@ -214,7 +214,7 @@
             self.schedule()
         answer = answered.value_or(None)
         if not isinstance(answer, ClaimVerdicts):
-            logger.info("Owner gave no answer.", owner=self.owner)
+            logger.info("Partition owner did not answer.", owner=self.owner)
             for release in releases:
                 self.controller.worker_of(release.key).release(release)
             for finish in finishes:
@@ -224,34 +224,34 @@
         for ticket in tickets:
             verdict = by_attempt.get(ticket.claim.attempt)
             if verdict is None or verdict.kind is VerdictKind.UNAVAILABLE:
-                # The owner may have appended the claim all the same. The fold
-                # takes the first copy, so following the partition here is safe.
+                # The owner may still have appended the claim. The fold counts
+                # only the first copy, so appending it here again is safe.
                 self.controller.claim_locally(ticket)
             else:
                 ticket.settle(verdict)
 
 
 class WaitingTicket(Ticket):
-    """Ticket that a request waits on."""
+    """Ticket whose verdict a request waits for."""
 
     def __init__(self, claim: Claim) -> None:
         super().__init__(claim)
         self.done = Event()
 
     def settle(self, verdict: Verdict) -> bool:
-        """Take a verdict and wake the request."""
+        """Store the verdict and wake the waiting request."""
         first = super().settle(verdict)
         self.done.set()
         return first
 
 
 class ClaimsController(Controller):
-    """Claims of this daemon and of those that hand theirs to it.
+    """Handles claims of this daemon and claims that peers forward to it.
 
     Attributes
     ----------
     running
-        Attempts of this daemon that won and whose outcome is not queued yet.
+        Winning attempts of this daemon whose outcome is not queued yet.
     """
 
     name = "claims"
@@ -259,8 +259,8 @@
 
     def __init__(self, app: Application) -> None:
         self.app = app
-        # Ranking all members for each partition takes 16 x 410 hashes, so it is
-        # done when they change and not at each step or claim.
+        # Ranking 410 members for 16 partitions takes 16 x 410 hashes, so the
+        # owners are computed when the members change, not per step or claim.
         self.owners = claims.owners(())
         self.workers: dict[int, PartitionWorker] = {}
         self.forwarders: dict[str, OwnerForwarder] = {}
@@ -270,7 +270,7 @@
         app.peers.handle(AttemptQuery, self._on_attempt_query)
 
     def reconcile(self) -> None:
-        """Follow the owned partitions and drop idle ones."""
+        """Follow the owned partitions and drop idle workers of the others."""
         address = self.app.peers.own_address
         owned = {number for number, owner in enumerate(self.owners) if owner == address}
         for number in owned:
@@ -284,7 +284,7 @@
                 del self.workers[number]
 
     def status(self) -> dict[str, Any]:
-        """Return the partitions read here and their remembered keys."""
+        """Return the partitions with a worker, and the counts of keys and running attempts."""
         return {
             "partitions": sorted(self.workers),
             "keys": sum(len(item.queue.partition.entries) for item in self.workers.values()),
@@ -293,7 +293,7 @@
 
     @property
     def idle(self) -> bool:
-        """Tell whether all outcomes and releases have been written."""
+        """Return whether all outcomes and releases have been written."""
         forwarders_idle = all(
             not (item.releases or item.finishes) for item in self.forwarders.values()
         )
@@ -302,10 +302,10 @@
         )
 
     def claim(self, claim: Claim, timeout_s: float) -> Verdict | None:
-        """Claim a key and wait for the verdict; None when it did not come in time.
+        """Claim a key and wait for the verdict; None after the timeout.
 
-        An attempt that is given up here is never started, so the caller may be
-        told that it was not run; its release frees the key for a repeat.
+        An attempt that is abandoned here is never started, so the caller can be
+        told that the request was not run. Its release frees the key for a retry.
         """
         ticket = WaitingTicket(claim)
         owner = self.owners[claims.partition_of(claim.key)]
@@ -319,15 +319,15 @@
         ticket.abandon()
         verdict = ticket.verdict
         if verdict is None or verdict.kind is VerdictKind.UNAVAILABLE:
-            # A copy of the claim may be on the log or on its way there: without
-            # a release every repeat would be told "in progress" for good.
+            # A copy of the claim may be on the log or in flight to it. Without a
+            # release, every retry would be answered "in progress" forever.
             self.release(Release(claim.key, claim.attempt))
         elif verdict.kind is VerdictKind.WON:
             self.running.add(claim.attempt)
         return verdict
 
     def claim_locally(self, ticket: Ticket) -> None:
-        """Claim through this daemon's own reading of the partition."""
+        """Claim through this daemon's own worker of the partition."""
         if ticket.settled:
             return
         self.worker_of(ticket.claim.key).submit(
@@ -335,10 +335,11 @@
         )
 
     def release(self, release: Release) -> None:
-        """Write that an attempt did not and will not run."""
+        """Record that an attempt did not and will not run."""
         self.running.discard(release.attempt)
         forwarder = self._owner_forwarder(release.key)
-        # The own queue may hold a copy of the claim; it must not be appended.
+        # The local queue may still hold a copy of the claim, which must not be
+        # appended.
         if forwarder is None or release.attempt in self.worker_of(release.key).queue.waiting:
             self.worker_of(release.key).release(release)
             return
@@ -346,7 +347,7 @@
         forwarder.schedule()
 
     def finish(self, finish: Finish) -> None:
-        """Write how an attempt ended."""
+        """Record the outcome of an attempt."""
         self.running.discard(finish.attempt)
         forwarder = self._owner_forwarder(finish.key)
         if forwarder is None:
@@ -356,13 +357,13 @@
         forwarder.schedule()
 
     def is_running(self, holder: str, attempt: str) -> bool:
-        """Ask a claimer whether it still runs an attempt; no answer means no."""
+        """Ask a claimer whether it still runs an attempt; no answer counts as no."""
         answer = self.app.peers.query(holder, AttemptQuery(attempt), STATUS_TIMEOUT_S)
         status = answer.value_or(None)
         return isinstance(status, AttemptStatus) and status.running
 
     def worker_of(self, key: bytes) -> PartitionWorker:
-        """Return the worker of a key's partition, made on first use."""
+        """Return the worker of a key's partition, creating it on first use."""
         return self._worker(claims.partition_of(key))
 
     def _worker(self, number: int) -> PartitionWorker:
@@ -418,8 +419,9 @@
 def _decode(record: LogRecord) -> tuple[int, ClaimBatch]:
     decoded = codec.decode(record.data, ClaimBatch)
     if not isinstance(decoded, Success):
-        # Every reader skips the same bytes, so all still judge alike.
-        logger.warning("Skips a malformed record.", offset=record.offset)
+        # Every reader skips the same bytes, so all readers reach the same
+        # verdicts.
+        logger.warning("Skipping a malformed record.", offset=record.offset)
         return record.offset, ClaimBatch()
     return record.offset, decoded.unwrap()
 
--- a/agaterail/controllers/drain.py
+++ b/agaterail/controllers/drain.py
@@ -1,4 +1,4 @@
-"""Leave without cutting a request, and notice which targets and peers leave."""
+"""Drain this process without breaking requests, and track targets that leave."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class DrainState(enum.Enum):
-    """How far the process is on its way out."""
+    """Phase of the shutdown."""
 
     SERVING = "serving"
     LAGGING = "lagging"
@@ -44,7 +44,7 @@
 @peer_message
 @attrs.frozen
 class TargetLeavingNotice:
-    """A target refused new work of the sender."""
+    """Tells peers that a target refused new work from the sender."""
 
     address: str
 
@@ -52,16 +52,16 @@
 class DrainController(Controller):
     """Drains this process after SIGTERM.
 
-    Readiness fails and peers are told first; new connections are served until
-    the balancer must have seen that; then requests in flight end, and the
-    outcomes of claimed requests reach the log.
+    First, readiness fails and peers are notified. New connections are served
+    until the load balancer must have noticed. Then requests in flight complete,
+    and the outcomes of claimed requests are written to the log.
 
     Attributes
     ----------
     done
         Set when the process may exit.
     close_callbacks
-        Called when new connections are no longer wanted.
+        Called when the process stops accepting connections.
     """
 
     name = "drain"
@@ -76,17 +76,17 @@
         self.close_callbacks: list[Callable[[], None]] = []
 
     def begin(self) -> None:
-        """Start to drain."""
+        """Start draining; further calls have no effect."""
         if self.state is not DrainState.SERVING:
             return
         self.app.draining = True
         self.started_at = self.app.timers.now()
         self.state = DrainState.LAGGING
-        logger.info("Drains.", in_flight=self.app.in_flight)
+        logger.info("Draining.", in_flight=self.app.in_flight)
         self.app.events.publish(ShutdownStarted())
 
     def reconcile(self) -> None:
-        """Take the next step when its time has come."""
+        """Enter the next phase when it is due."""
         settings, now = self.app.settings, self.app.timers.now()
         lag_over_at = self.started_at + settings.drain_lag_s
         if self.state is DrainState.LAGGING and now >= lag_over_at:
@@ -97,7 +97,7 @@
                 self._complete()
 
     def status(self) -> dict[str, Any]:
-        """Return the state."""
+        """Return the current phase."""
         return {"state": self.state.value}
 
     def _stop_accepting(self) -> None:
@@ -110,20 +110,20 @@
             return False
         if self.finished_at is None:
             self.finished_at = now
-        # Without its outcome on the log, a repeat of a claimed request would
-        # be told "unknown" for as long as the key is remembered.
+        # Without its outcome on the log, every retry of a claimed request would
+        # be answered "unknown" for as long as the key is remembered.
         claims = self.app.controllers[ClaimsController.name]
         assert isinstance(claims, ClaimsController)
         return claims.idle or now >= self.finished_at + RECORD_FLUSH_LIMIT_S
 
     def _complete(self) -> None:
         self.state = DrainState.DONE
-        logger.info("Drained.", in_flight=self.app.in_flight)
+        logger.info("Drain complete.", in_flight=self.app.in_flight)
         self.done.set()
 
 
 class ShutdownFilter(Filter):
-    """Asks callers to connect anew while draining, and refuses after that."""
+    """Closes connections after each answer while draining, and rejects requests later."""
 
     order = 50
 
@@ -131,7 +131,7 @@
         self.controller = controller
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Serve until new connections are no longer wanted."""
+        """Proceed with the request until the process stops accepting connections."""
         state = self.controller.state
         if state is not DrainState.SERVING:
             exchange.answer_headers["connection"] = "close"
@@ -141,7 +141,7 @@
 
 
 class LeavingTargetTracker:
-    """Takes a target's refusal and the peers' word as signs that it leaves."""
+    """Marks a target as refusing after a refusal here or a notice from a peer."""
 
     def __init__(self, app: Application, seed: int | None = None) -> None:
         self.app = app
@@ -157,7 +157,7 @@
         now = self.app.timers.now()
         if not self.app.targets.mark_refusing(event.address, now):
             return
-        logger.info("Target refuses.", target=event.address, source=event.source)
+        logger.info("Target refuses new work.", target=event.address, source=event.source)
         others = [item for item in self.members if item != self.app.peers.own_address]
         notified = self.random.sample(others, min(MAX_NOTIFIED_PEERS, len(others)))
         for member in notified:
--- a/agaterail/controllers/gauges.py
+++ b/agaterail/controllers/gauges.py
@@ -1,4 +1,4 @@
-"""Send the gauges of this daemon at a fixed period."""
+"""Send the gauges of this daemon periodically."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class GaugesController(Controller):
-    """Reads what the parts hold; keeps no state but the number of members."""
+    """Reads gauge values from the application; stores only the member count."""
 
     name = "gauges"
     period_s = PERIOD_S
@@ -25,14 +25,14 @@
         app.events.subscribe(MembersChanged, self._on_members)
 
     def reconcile(self) -> None:
-        """Send each gauge once."""
+        """Send the current value of each gauge."""
         metrics, peers = self.app.metrics, self.app.peers
         metrics.gauge("in_flight", self.app.in_flight)
         metrics.gauge("ready", int(self.app.ready))
         metrics.gauge("members", self.members)
         metrics.gauge("peers.messages", peers.sent_messages)
         metrics.gauge("peers.bytes", peers.sent_bytes)
-        if self.app.tables.through >= 0:  # statsd takes a negative value as a change
+        if self.app.tables.through >= 0:  # statsd reads a negative value as a delta
             metrics.gauge("tables.through", self.app.tables.through)
 
     def _on_members(self, event: MembersChanged) -> None:
--- a/agaterail/controllers/homes.py
+++ b/agaterail/controllers/homes.py
@@ -1,4 +1,4 @@
-"""Follow the engines that this daemon is the home of."""
+"""Follow the cache events and load of the engines homed at this daemon."""
 
 from __future__ import annotations
 
@@ -31,21 +31,22 @@
 
 logger = logs.get_logger("homes")
 
-# One question brings events and load. Asking as soon as there is an event would
-# cost 50 questions a second for each busy engine, more than the events.
+# One poll returns both events and load. Polling again on every event would take
+# 50 requests a second for each busy engine, more traffic than the events.
 POLL_PERIOD_S = 0.4
-# Events of a prefill come after it; a prediction must outlast the queue, the
-# prefill and this delay, or a second request would not see the first.
+# The events of a prefill are published after it. A prediction must outlast the
+# queue, the prefill and this delay, or a second request for the same prefix would
+# not see the first.
 PREDICTION_SLACK_S = 3.0
 # The contents of a large cache are megabytes. Fetching them after every lost
-# event would use far more of the network than the events themselves.
+# event would use far more bandwidth than the events themselves.
 CONTENTS_BYTES_PER_KEY = 8
 CONTENTS_BYTES_PER_S = 2500.0
 MIN_CONTENTS_PERIOD_S = 1.0
 
 
 class FollowedEngine:
-    """One engine with its index, its load and the timers that feed them."""
+    """A followed engine with its cache index, its load and its poll timer."""
 
     def __init__(
         self, address: str, engine: Engine, timers: TimerService, prefill_ms_per_token: float
@@ -59,16 +60,16 @@
         self.subscriptions: list[Subscription] = []
 
     def start(self) -> None:
-        """Begin to follow the engine."""
+        """Start polling the engine."""
         self.subscriptions = [self.timers.every(POLL_PERIOD_S, self.poll)]
 
     def stop(self) -> None:
-        """Follow the engine no longer."""
+        """Stop polling the engine."""
         for subscription in self.subscriptions:
             subscription.cancel()
 
     def poll(self) -> None:
-        """Fetch the contents when they are needed and due, then events and load."""
+        """Fetch the cache contents if needed and due, then events and load."""
         if self.index.needs_contents and self.timers.now() >= self.contents_due_at:
             self._fetch_contents()
         requested_at = self.timers.now()
@@ -84,28 +85,28 @@
         self.load.expire(self.timers.now())
 
     def _on_load(self, report: LoadReport, requested_at: float) -> None:
-        # A report of a dead incarnation may still arrive, from before the
-        # crash; it must not bring the old queue back.
+        # A late report of an incarnation that has crashed must not restore its
+        # queue.
         if self.index.on_incarnation(report.incarnation, requested_at, self.timers.now()):
             self.index.on_weights(report.weights_version)
             self.index.set_capacity(report.capacity_blocks)
             self.load.on_report(report, requested_at)
 
     def on_dispatch(self, notice: DispatchNotice) -> None:
-        """Count a dispatch and expect its blocks."""
+        """Add a dispatch to the load and predict its cache blocks."""
         now = self.timers.now()
         self.load.on_dispatch(notice.dispatch_id, notice.missing_tokens, now)
         until = now + self.load.queue_ms(now) / 1e3 + PREDICTION_SLACK_S
         self.index.predict(notice.dispatch_id, split_keys(notice.keys), now, until)
 
     def on_finish(self, notice: FinishNotice) -> None:
-        """Release a dispatch; what did not run leaves no blocks."""
+        """Remove a dispatch from the load; withdraw its prediction if it did not run."""
         self.load.on_finish(notice.dispatch_id, notice.ran)
         if not notice.ran:
             self.index.withdraw(notice.dispatch_id)
 
     def view(self, keys: Sequence[int], depths: Sequence[int]) -> CandidateState:
-        """Return what is known of the engine for one prompt."""
+        """Return the engine's cache hit and load for one prompt."""
         now = self.timers.now()
         hit = self.index.lookup(keys, depths, now)
         report = self.load.report
@@ -134,18 +135,21 @@
         pause_s = max(MIN_CONTENTS_PERIOD_S, size / CONTENTS_BYTES_PER_S)
         self.contents_due_at = self.timers.now() + pause_s
         logger.debug(
-            "Fetched contents.", engine=self.address, keys=len(contents.keys), taken=taken
+            "Fetched cache contents.",
+            engine=self.address,
+            keys=len(contents.keys),
+            taken=taken,
         )
 
     def _handle_restart(self, previous_incarnation: str) -> None:
         if previous_incarnation and previous_incarnation != self.index.incarnation:
             self.load.on_restart()
             self.contents_due_at = self.timers.now()
-            logger.info("Engine has restarted.", engine=self.address)
+            logger.info("Engine restarted.", engine=self.address)
 
 
 class HomesController(Controller):
-    """Keeps one follower per engine that this daemon is the home of."""
+    """Keeps one follower per engine homed at this daemon."""
 
     name = "homes"
     period_s = 1.0
@@ -162,27 +166,27 @@
         app.peers.handle(FinishNotice, self.on_finish)
 
     def reconcile(self) -> None:
-        """Follow exactly the engines of the tables that are this daemon's."""
+        """Follow exactly the engines in the tables whose home is this daemon."""
         wanted = {engine for engine in self.pools if self.homes.is_own(engine)}
         for address in self.followed.keys() - wanted:
             self.followed.pop(address).stop()
-            logger.info("Follows an engine no longer.", engine=address)
+            logger.info("Stopped following an engine.", engine=address)
         for address in sorted(wanted - self.followed.keys()):
             self._follow(address)
 
     def on_tables(self, event: TablesChanged) -> None:
-        """Take the engines that the tables name."""
+        """Update the set of engines from the tables."""
         self.pools = _pools_by_engine(event.tables)
         self.homes.set_engines(self.pools)
         self.reconcile()
 
     def on_members(self, event: MembersChanged) -> None:
-        """Take over the engines of daemons that have gone."""
+        """Recompute the homes and take over engines of daemons that left."""
         self.homes.set_members(event.members)
         self.reconcile()
 
     def on_query(self, _sender: str, query: CandidateQuery) -> CandidateAnswer:
-        """Answer for the engines followed here."""
+        """Answer for the engines that this daemon follows."""
         keys = split_keys(query.keys)
         depths = query.depths or range(1, len(keys) + 1)
         followed = [self.followed.get(engine) for engine in query.engines]
@@ -191,19 +195,19 @@
         )
 
     def on_dispatch(self, _sender: str, notice: DispatchNotice) -> None:
-        """Count a dispatch of any daemon."""
+        """Pass a dispatch by any daemon to the follower of its engine."""
         followed = self.followed.get(notice.engine)
         if followed is not None:
             followed.on_dispatch(notice)
 
     def on_finish(self, _sender: str, notice: FinishNotice) -> None:
-        """Release a dispatch of any daemon."""
+        """Pass the end of a dispatch by any daemon to the follower of its engine."""
         followed = self.followed.get(notice.engine)
         if followed is not None:
             followed.on_finish(notice)
 
     def status(self) -> dict[str, Any]:
-        """Return the followed engines with what is known of them."""
+        """Return blocks, predictions, event gaps and queue time of each followed engine."""
         return {
             "followed": {
                 address: {
@@ -225,7 +229,7 @@
         )
         self.followed[address] = followed
         followed.start()
-        logger.info("Follows an engine.", engine=address)
+        logger.info("Following an engine.", engine=address)
 
 
 def _pools_by_engine(tables: Tables) -> dict[str, Pool]:
--- a/agaterail/controllers/hosts.py
+++ b/agaterail/controllers/hosts.py
@@ -1,4 +1,4 @@
-"""Follow the platform's host list and watch the other daemons."""
+"""Follow the platform's host list and track live daemons and leaving targets."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 @peer_message
 @attrs.frozen
 class Draining:
-    """Tells that the sender takes no new work."""
+    """Announces that the sender accepts no new work."""
 
 
 class HostsController(Controller):
-    """Keeps the members and marks leaving targets."""
+    """Publishes changes of the live daemons and marks leaving targets."""
 
     name = "hosts"
     period_s = 1.0
@@ -41,7 +41,7 @@
         app.events.subscribe(ShutdownStarted, self._on_shutdown)
 
     def reconcile(self) -> None:
-        """Fetch the list; a failed fetch keeps what was known."""
+        """Fetch the host list; a failed fetch keeps the previous one."""
         if self.app.host_list is not None:
             fetched = self.app.host_list.fetch()
             if isinstance(fetched, Success):
@@ -49,7 +49,7 @@
         self._update_members()
 
     def status(self) -> dict[str, Any]:
-        """Return the live routers."""
+        """Return the addresses of the live daemons."""
         return {"members": list(self.members)}
 
     def _on_hosts(self, hosts: tuple[Host, ...]) -> None:
@@ -85,8 +85,8 @@
         self._update_members()
 
     def _on_shutdown(self, _event: ShutdownStarted) -> None:
-        # Only those who sent work here lately need the word before the list
-        # brings it; telling all would cost a message per daemon.
+        # Only daemons that recently sent work here need to know before the host
+        # list shows it. Notifying all would cost one message per daemon.
         self.app.members.leaving = True
         for address in list(self.app.members.contacts):
             self.app.peers.notify(address, Draining())
--- a/agaterail/controllers/leases.py
+++ b/agaterail/controllers/leases.py
@@ -1,4 +1,4 @@
-"""Hold the lease for orders, or follow who does."""
+"""Acquire and renew the lease for rollout orders, or observe its holder."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 class LeasesController(Controller):
-    """Keeps the lease while this daemon is among the few candidates.
+    """Competes for the lease while this daemon is one of the candidates.
 
-    Only the first daemons in rendezvous order follow the stream, so the reads
-    of the log do not grow with the number of daemons. Daemons that disagree on
-    the order only make more candidates; the log decides between them.
+    Only the first few daemons in rendezvous order follow the stream, so the load
+    on the log does not grow with the number of daemons. Daemons that disagree on
+    the order only add candidates; the log decides between them.
     """
 
     name = "leases"
@@ -49,7 +49,7 @@
         app.events.subscribe(MembersChanged, self._on_members)
 
     def reconcile(self) -> None:
-        """Read the stream and append what is due."""
+        """Read the stream and append a lease record if one is due."""
         rank = self.rank
         if rank is None:
             self.keeper.caught_up = False
@@ -63,13 +63,13 @@
             self._read()
 
     def release(self) -> None:
-        """Give the lease up, so that a rival need not wait it out."""
+        """Release the lease, so that another candidate need not wait until it expires."""
         record = self.keeper.release()
         if record is not None:
             self._append(record)
 
     def status(self) -> dict[str, Any]:
-        """Return the holder as this daemon knows it."""
+        """Return the lease holder as seen by this daemon."""
         return {
             "holder": self.keeper.view.holder,
             "fencing": self.keeper.view.fencing,
@@ -107,7 +107,7 @@
 
 
 def candidate_rank(own: str, members: Sequence[str]) -> int | None:
-    """Return a daemon's place among the candidates for the lease, or None."""
+    """Return a daemon's rank among the candidates, or None if it is not one."""
     order = rendezvous.ranked(LEASE_KEY, {*members, own}, MAX_CANDIDATES)
     return order.index(own) if own in order else None
 
--- a/agaterail/controllers/rollout.py
+++ b/agaterail/controllers/rollout.py
@@ -1,4 +1,4 @@
-"""Give engines the orders of a rollout while this daemon holds the lease."""
+"""Send the orders of rollouts to engines while this daemon holds the lease."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutHalted:
-    """Record that a revision failed, so that the next holder does not try it."""
+    """Log record of a failed revision, which stops the next lease holder from retrying it."""
 
     revision: Revision
     reason: str
@@ -52,12 +52,12 @@
 
 
 class RolloutController(Controller):
-    """Reads engines back, plans and gives orders.
+    """Reads engine states, plans the next steps and sends orders.
 
-    Every order is absolute and carries the fencing number. An engine that
-    ignores numbers can be sent an order by a holder that was paused between
-    its check and the send; reading back finds the engine in the wrong state
-    and the order is given again.
+    Every order states the full desired state and carries the fencing number. An
+    engine that ignores fencing numbers may accept a stale order from a former
+    holder that was paused between its lease check and the send. The next read
+    then finds the engine in the wrong state, and the order is sent again.
     """
 
     name = "rollout"
@@ -74,7 +74,7 @@
         self.next_settled = 0
 
     def reconcile(self) -> None:
-        """Take one step of the rollouts, or forget them without the lease."""
+        """Advance the rollouts by one step, or stop leading without the lease."""
         now = self.app.timers.now()
         if self.leases.keeper.remaining_s(now) <= 0.0:
             self.fencing = NO_VERSION
@@ -92,20 +92,21 @@
                 return
 
     def status(self) -> dict[str, Any]:
-        """Return the halted revisions and the engines that are being changed."""
+        """Return the halted revisions, the busy engines and whether this daemon leads."""
         now = self.app.timers.now()
         halted = {f"{item.pool}@{item.version}": why for item, why in self.halted.items()}
         busy = [address for address, view in self.engines.items() if view.busy(now)]
         return {"halted": halted, "busy": busy, "leading": self.fencing != NO_VERSION}
 
     def _take_over(self, now: float) -> None:
-        # What the former holder ordered is not known here. All engines are
-        # read back first, and its last order in flight is waited out, so that
-        # it cannot arrive after this holder's first one.
+        # The orders of the former holder are unknown here. All engine states
+        # are read first, and orders wait until the former holder's last order
+        # in flight has timed out, so that it cannot arrive after the first one
+        # of this holder.
         self.engines = {}
         self.fencing = self.leases.keeper.view.fencing
         self.orders_allowed_at = now + ORDER_TIMEOUT_S
-        logger.info("Took over the orders.", fencing=self.fencing)
+        logger.info("Took over the rollouts.", fencing=self.fencing)
 
     def _rollout_pools(self) -> list[Versioned[Pool]]:
         now = self.app.timers.now()
@@ -128,9 +129,9 @@
             take_in(view, read.value_or(None), self.app.timers.now())
 
     def _engines_to_read(self, pools: list[Versioned[Pool]]) -> list[str]:
-        # Engines that are not where they should be are read at each step; the
-        # others in turn, so that a stray order is found without 600 reads a
-        # step.
+        # Engines that are not verified in the desired state are read at every
+        # step. The others are read round-robin, which detects a stale order
+        # without 600 reads per step.
         unsettled: list[str] = []
         settled: list[str] = []
         for versioned in pools:
@@ -145,8 +146,8 @@
 
     def _execute(self, step: Step) -> bool:
         if self.leases.keeper.remaining_s(self.app.timers.now()) <= ORDER_TIMEOUT_S:
-            # An order that is still in flight when the lease ends could cross
-            # the next holder's orders.
+            # An order that is still in flight when the lease expires could
+            # arrive after orders of the next holder.
             return False
         if step.kind is StepKind.ORDER:
             self._send_order(step)
@@ -172,7 +173,7 @@
         )
         answer = self.app.engine_at(step.address).order(order)
         logger.info(
-            "Ordered a state.",
+            "Sent an order to an engine.",
             target=step.address,
             pool=step.revision.pool,
             version=step.desired.weights_version,
@@ -192,10 +193,10 @@
         assert view.state is not None
         if self._probe_succeeds(step.address, step.desired):
             view.probed = (view.state.incarnation, step.desired)
-            logger.info("Engine passed the check.", target=step.address)
+            logger.info("Engine passed the probe.", target=step.address)
         else:
             view.failed = step.revision
-            logger.warning("Engine failed the check.", target=step.address)
+            logger.warning("Engine failed the probe.", target=step.address)
 
     def _probe_succeeds(self, address: str, desired: DesiredState) -> bool:
         request_id = f"{PROBE_PREFIX}{secrets.token_hex(ID_BYTES)}"
--- a/agaterail/controllers/snapshots.py
+++ b/agaterail/controllers/snapshots.py
@@ -1,4 +1,4 @@
-"""Write snapshots of the tables to the log, without an elected writer."""
+"""Write snapshots of the tables to the log without an elected writer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class SnapshotsController(Controller):
-    """Writes a snapshot when one is due and nobody else has."""
+    """Writes a snapshot when one is due and no other daemon has written it."""
 
     name = "snapshots"
     period_s = 1.0
@@ -32,7 +32,7 @@
         self.written = 0
 
     def reconcile(self) -> None:
-        """Note what others wrote, and write if it is this daemon's turn."""
+        """Check for snapshots of other daemons, and write one if it is due here."""
         now = self.app.timers.now()
         self._record_newest_mark(now)
         if not self.tables.log_up or self.tables.gap or not self.tables.at_end:
@@ -41,7 +41,7 @@
             self._write()
 
     def status(self) -> dict[str, Any]:
-        """Return how far the last snapshot covers the stream."""
+        """Return the offset that the last snapshot covers and the number written here."""
         return {"through": self.schedule.mark_through, "written": self.written}
 
     def _record_newest_mark(self, now: float) -> None:
@@ -69,7 +69,7 @@
             )
             self.app.metrics.count("tables.snapshots")
             return
-        logger.warning("Wrote no snapshot.", reason=written.failure())
+        logger.warning("Failed to write a snapshot.", reason=written.failure())
         self.schedule.on_failed(now)
 
     def _superseded(self, covered: int) -> bool:
--- a/agaterail/controllers/startup.py
+++ b/agaterail/controllers/startup.py
@@ -1,4 +1,4 @@
-"""Ask peers for their tables: at the start, in an outage and after a hole."""
+"""Fetch tables from peers: at startup, in a log outage and after a gap in the log."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 @peer_message
 @attrs.frozen
 class OffsetQuery:
-    """Asks which offset a daemon serves."""
+    """Asks a daemon for the offset of the tables that it serves."""
 
 
 @peer_message
 @attrs.frozen
 class OffsetAnswer:
-    """Offset that a daemon serves; -1 before it serves."""
+    """Offset of the tables that a daemon serves; -1 before it serves any."""
 
     through: int
 
@@ -55,7 +55,10 @@
     Attributes
     ----------
     digest
-        Snapshot that the earlier chunks came from; empty for the first.
+        Digest of the snapshot that earlier chunks came from; empty for the
+        first chunk.
+    min_through
+        Lowest offset that a new snapshot must cover.
     """
 
     digest: str
@@ -66,7 +69,7 @@
 @peer_message
 @attrs.frozen
 class TablesAnswer:
-    """One chunk; ``count`` is 0 when the snapshot asked for is not kept."""
+    """One chunk; ``count`` is 0 if the requested snapshot or chunk is not available."""
 
     through: int
     digest: str
@@ -78,7 +81,7 @@
 
 
 class StartupController(Controller):
-    """Runs the start-up, and later asks peers while the log does not help."""
+    """Runs the startup, and queries peers later whenever the log is unusable."""
 
     name = "startup"
     period_s = 1.0
@@ -98,10 +101,11 @@
         app.peers.handle(TablesQuery, self.on_tables_query)
 
     def reconcile(self) -> None:
-        """Take one step, and go on in short steps until it is over."""
+        """Take one step, and schedule short steps until the plan is complete."""
         self._step()
         if self.startup_plan is not None and not self.step_scheduled:
-            # A steady period this short would cost an idle daemon 0.8% of a core.
+            # A permanent period this short would cost an idle daemon 0.8% of a
+            # core.
             self.step_scheduled = True
             self.app.timers.after(STEP_DELAY_S, self._run_scheduled_step)
 
@@ -116,8 +120,8 @@
                 return
             self.startup_plan = StartupPlan(self.random, now)
         plan = self.startup_plan
-        # A log that was just started from may be stale, so a gap or a failed
-        # read is looked at anew in each step.
+        # The log that this daemon started from may be stale, so a gap or a
+        # failed read is checked again in every step.
         plan.log.at_end = self.tables.at_end
         plan.log.failed = self.tables.log_up is False or self.tables.gap
         decision = plan.decide(self.tables.reader.tables.through, now)
@@ -128,17 +132,17 @@
         elif self.tables.serving and plan.round is not None and plan.round.is_over(now):
             self._finish("")
         else:
-            # Only after the decision: a new round forgets the answers of the
-            # last one.
+            # This comes after the decision because a new round discards the
+            # answers of the previous one.
             for address in plan.next_round(self._live_peers(), now):
                 self.spawn(self._query_offset, plan, address)
 
     def status(self) -> dict[str, Any]:
-        """Return whether the start-up is over."""
+        """Return whether startup is complete."""
         return {"serving": self.tables.serving}
 
     def on_offset_query(self, _sender: str, _query: OffsetQuery) -> OffsetAnswer:
-        """Answer with the offset in force."""
+        """Answer with the offset of the tables in force."""
         return OffsetAnswer(self.app.tables.through)
 
     def on_tables_query(self, _sender: str, query: TablesQuery) -> TablesAnswer:
@@ -178,7 +182,9 @@
             return
         fetched = fetch_tables(self.app, address, query_round.answers[address])
         if not isinstance(fetched, Success):
-            logger.warning("Gets no tables.", peer=address, reason=fetched.failure())
+            logger.warning(
+                "Failed to fetch tables from a peer.", peer=address, reason=fetched.failure()
+            )
             query_round.on_failure(address)
             return
         self.tables.adopt(fetched.unwrap(), address)
@@ -191,7 +197,8 @@
             self.tables.start_serving(source)
 
     def _snapshot_for(self, query: TablesQuery) -> Snapshot | None:
-        # A herd that restarts asks one daemon many times; it encodes once.
+        # Many daemons that restart at once may query the same peer. The lock and
+        # the cache make it encode its tables once for all of them.
         with self.encode_lock:
             snapshot = self.cached_snapshot
             if query.digest:
@@ -218,7 +225,7 @@
 
 
 def fetch_tables(app: Application, address: str, min_through: int) -> Result[Tables, str]:
-    """Fetch a peer's tables chunk by chunk and check them against their digest."""
+    """Fetch a peer's tables chunk by chunk and verify their digest."""
     chunks: list[bytes] = []
     digest, through, count = "", NO_VERSION, 1
     while len(chunks) < min(count, MAX_CHUNKS):
@@ -228,9 +235,9 @@
             return Failure(answered.failure())
         chunk = answered.unwrap()
         if not isinstance(chunk, TablesAnswer) or not chunk.count:
-            return Failure("the snapshot is no longer kept")
+            return Failure("the peer no longer has the snapshot")
         if digest and chunk.digest != digest:
-            return Failure("the snapshot changed between two chunks")
+            return Failure("the snapshot changed between chunks")
         digest, through, count = chunk.digest, chunk.through, chunk.count
         chunks.append(chunk.data)
     return snapshots.decode(through, digest, chunks, lambda: gevent.sleep(0))
--- a/agaterail/controllers/tables.py
+++ b/agaterail/controllers/tables.py
@@ -1,4 +1,4 @@
-"""Follow the tables stream of the log."""
+"""Follow the tables stream of the log and put its tables in force."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 logger = logs.get_logger("tables")
 
-# A read that waits costs the log one request per daemon and wait: 82 a second
-# from 410 daemons at 5 s. A log host that vanished silently is noticed after
-# this time and the client's own timeout together, well below 16 s.
+# Each long poll is one request to the log: 82 requests/s from 410 daemons at 5 s.
+# A log host that disappears silently is detected after this time plus the client's
+# own timeout, well below 16 s.
 LONG_POLL_S = 5.0
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 2.0
@@ -30,16 +30,17 @@
 
 
 class TablesController(Controller):
-    """Folds new records and puts the result in force.
+    """Folds new records and puts the resulting tables in force.
 
     Attributes
     ----------
     serving
-        Whether start-up is over, so that what is folded is in force at once.
+        Whether startup is complete. From then on, folded tables are in force
+        at once.
     log_up
-        Whether the last read was answered; None before the first answer.
+        Whether the last read succeeded; None before the first read ends.
     gap
-        Whether records expired before this daemon read them.
+        Whether records expired before this daemon could read them.
     """
 
     name = "tables"
@@ -57,7 +58,7 @@
         self.retry_at = 0.0
 
     def reconcile(self) -> None:
-        """Read the records after the last folded one."""
+        """Read and fold the records after the last folded one."""
         if self.app.timers.now() < self.retry_at:
             return
         wait_s = LONG_POLL_S if self.log_up and not self.gap else 0.0
@@ -68,7 +69,7 @@
         self._on_step(result.unwrap())
 
     def activate_tables(self) -> None:
-        """Put what the reader holds in force; never goes back."""
+        """Put the reader's tables in force unless newer ones already are."""
         tables, old = self.reader.tables, self.app.tables
         if tables.through <= old.through:
             return
@@ -77,19 +78,19 @@
             self.app.events.publish(TablesChanged(tables))
 
     def start_serving(self, source: str) -> None:
-        """End the start-up with what the reader holds."""
+        """Complete startup with the reader's tables."""
         self.serving = True
-        logger.info("Serves tables.", through=self.reader.tables.through, source=source)
+        logger.info("Serving tables.", through=self.reader.tables.through, source=source)
         self.activate_tables()
 
     def adopt(self, tables: Tables, source: str) -> None:
-        """Take over newer tables of a peer."""
+        """Adopt a peer's tables if they are newer, and serve them."""
         if self.reader.adopt(tables):
-            logger.info("Takes tables of a peer.", through=tables.through, source=source)
+            logger.info("Adopted tables of a peer.", through=tables.through, source=source)
             self.start_serving(source)
 
     def status(self) -> dict[str, Any]:
-        """Return the offset in force and what is known of the log."""
+        """Return the offset in force, the table sizes and the state of the log."""
         return {
             "through": self.app.tables.through,
             "routes": len(self.app.tables.routes),
@@ -101,12 +102,12 @@
 
     def _on_failure(self, reason: str) -> None:
         if self.log_up is not False:
-            logger.warning("Log gives no answer.", reason=reason)
+            logger.warning("Log does not answer.", reason=reason)
         self.log_up = False
         limit_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**self.failures)
         self.failures = min(self.failures + 1, 10)
-        # Half of the pause is random, so that a herd does not come back to the
-        # log in step.
+        # Half of the backoff is jitter, so that daemons do not retry the log in
+        # lockstep.
         self.retry_at = self.app.timers.now() + limit_s * self.random.uniform(0.5, 1)
 
     def _on_step(self, step: Step) -> None:
@@ -131,7 +132,7 @@
 
     def _log_verdict(self, entry: FoldedRecord) -> None:
         logger.info(
-            "Judged a record.", offset=entry.offset, verdict=entry.result.verdict.value
+            "Folded a record.", offset=entry.offset, verdict=entry.result.verdict.value
         )
         self.app.metrics.count(f"tables.{entry.result.verdict.value}")
 
@@ -142,7 +143,7 @@
 
 
 def tables_controller(app: Application) -> TablesController:
-    """Return the controller of an application."""
+    """Return the tables controller of an application."""
     controller = app.controllers[TablesController.name]
     assert isinstance(controller, TablesController)
     return controller
--- a/agaterail/controllers/transfers.py
+++ b/agaterail/controllers/transfers.py
@@ -1,4 +1,4 @@
-"""Export prefixes that are dear to the store of kept KV cache."""
+"""Export reused prefixes from engines to the KV cache store."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class TransfersController(Controller):
-    """Exports at most one prefix of each engine at a time."""
+    """Exports at most one prefix per engine at a time."""
 
     name = "transfers"
     period_s = 0.5
@@ -31,7 +31,7 @@
         self.exported_blocks = 0
 
     def reconcile(self) -> None:
-        """Export the next prefix of each engine."""
+        """Export the next due prefix of each engine."""
         store = self.app.kv_store
         if store is None:
             return
@@ -39,7 +39,7 @@
         gevent.joinall([gevent.spawn(self._export, store, use) for use in due])
 
     def status(self) -> dict[str, Any]:
-        """Return what was exported."""
+        """Return the number of exported blocks."""
         return {"exported_blocks": self.exported_blocks}
 
     def _export(self, store: KvStore, use: PrefixUse) -> None:
--- a/agaterail/editing.py
+++ b/agaterail/editing.py
@@ -1,4 +1,4 @@
-"""Bring one edit onto the log and learn how it was judged."""
+"""Append an edit to the log and read back its verdict."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class SubmitError(enum.Enum):
-    """Why there is no verdict."""
+    """Reason why an edit has no verdict."""
 
     TOO_LARGE = "too_large"
     NOT_SENT = "not_sent"
@@ -45,14 +45,14 @@
 
 @attrs.frozen
 class SubmitFailure:
-    """An edit without a verdict; only ``UNKNOWN`` may still come into force."""
+    """Failure to get a verdict; only an ``UNKNOWN`` edit may still come into force."""
 
     kind: SubmitError
     detail: str = ""
 
 
 def read_to_end(reader: TablesReader) -> Result[None, str]:
-    """Read until nothing more is readable."""
+    """Read until the end of the stream."""
     while True:
         stepped = reader.step()
         if not isinstance(stepped, Success):
@@ -68,17 +68,17 @@
 
 
 def edit_size(edit: Edit) -> int:
-    """Return the bytes of an edit on the log."""
+    """Return the encoded size of an edit in bytes."""
     return len(codec.encode(edit, TablesRecord))
 
 
 def split_changes(
     changes: Sequence[Change], limit: int = MAX_RECORD_BYTES
 ) -> list[list[Change]]:
-    """Split changes so that each part fits a record.
+    """Split changes into parts that each fit into one record.
 
-    Pools are put before the routes that name them and deleted after these are
-    gone, so that each part leaves valid tables.
+    Pools are added before the routes that refer to them and deleted after these
+    routes, so that the tables are valid after each part.
     """
     parts: list[list[Change]] = []
     size = limit
@@ -98,12 +98,12 @@
 def submit(
     log: LogStore, reader: TablesReader, edit: Edit, pause: Callable[[float], None]
 ) -> Result[FoldResult, SubmitFailure]:
-    """Append an edit and read back how it was judged.
+    """Append an edit and read back its verdict.
 
-    The verdict comes from reading the edit on the log, never from the answer
-    to the append: that answer can be lost after the append took effect. The
-    same edit with the same id is sent again until it is read back; a new id
-    would count as another edit.
+    The verdict comes from reading the edit from the log, never from the answer
+    to the append, which can be lost after the append took effect. The edit is
+    sent again with the same id until it is read back; a new id would make it
+    another edit.
     """
     if edit_size(edit) > MAX_RECORD_BYTES:
         return Failure(SubmitFailure(SubmitError.TOO_LARGE))
--- a/agaterail/events.py
+++ b/agaterail/events.py
@@ -1,4 +1,4 @@
-"""Typed events between the parts of one process."""
+"""Typed events within one process, and the bus that delivers them."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @attrs.frozen
 class TablesChanged:
-    """Other tables are in force."""
+    """New tables are in force."""
 
     tables: Tables
 
 
 @attrs.frozen
 class MembersChanged:
-    """The set of live routers changed."""
+    """The set of live daemons changed."""
 
     members: tuple[str, ...]
 
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class ShutdownStarted:
-    """Process begins to drain."""
+    """The process starts to drain."""
 
 
 class EventBus:
@@ -62,13 +62,13 @@
         self.subscribers: dict[type, list[Callable[[Any], None]]] = defaultdict(list)
 
     def subscribe(self, kind: type[E], callback: Callable[[E], None]) -> None:
-        """Call back on each event of a type."""
+        """Register a callback for events of a type."""
         self.subscribers[kind].append(callback)
 
     def publish(self, event: object) -> None:
-        """Hand an event to its subscribers; one that raises stops no other."""
+        """Call all subscribers of an event; one that raises does not stop the others."""
         for callback in self.subscribers[type(event)]:
             try:
                 callback(event)
             except Exception:
-                logger.exception("Subscriber failed.", event_type=type(event).__name__)
+                logger.exception("Event subscriber raised.", event_type=type(event).__name__)
--- a/agaterail/fold.py
+++ b/agaterail/fold.py
@@ -1,4 +1,4 @@
-"""Pure fold of the tables stream: the same on every host."""
+"""Deterministic fold of the tables stream, with the same result on every host."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Verdict(enum.Enum):
-    """How the fold judged one record."""
+    """Verdict of the fold on one record."""
 
     ACCEPTED = "accepted"
     REPEATED = "repeated"
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class FoldResult:
-    """The tables after one record, with the verdict and its reasons."""
+    """Tables after one record, with the verdict on it and the reasons."""
 
     tables: Tables
     verdict: Verdict
@@ -42,7 +42,7 @@
 
 
 def fold(tables: Tables, record: TablesRecord, offset: int) -> FoldResult:
-    """Judge one record and return the tables that are in force after it.
+    """Apply one record to the tables if it is valid, and return the result.
 
     Parameters
     ----------
@@ -54,12 +54,14 @@
         Log offset of the record.
     """
     if record.rules != RULES_VERSION:
-        # A daemon of another release might judge this record differently.
-        # Rejecting it everywhere below that release keeps all views equal.
+        # Another release may apply this record by different rules. Every daemon
+        # that does not know the rules rejects it, so that their tables stay
+        # equal.
         return FoldResult(attrs.evolve(tables, through=offset), Verdict.UNKNOWN_RULES)
     if isinstance(record, SnapshotMark):
-        # A reader that folds in order already holds what a snapshot covers.
-        # Taking its content here could only revert edits between the two.
+        # A reader that folds in order already has the content of the snapshot.
+        # Adopting it here could only revert edits between the snapshot's offset
+        # and its mark.
         return FoldResult(attrs.evolve(tables, through=offset), Verdict.SNAPSHOT)
     return _fold_edit(tables, record, offset)
 
@@ -67,11 +69,11 @@
 def fold_bytes(
     tables: Tables, data: bytes, offset: int
 ) -> tuple[TablesRecord | None, FoldResult]:
-    """Decode and judge one record; a malformed one changes nothing but the offset."""
+    """Decode and fold one record; a malformed one only advances the offset."""
     decoded = codec.decode(data, TablesRecord)
     if not isinstance(decoded, Success):
-        # The offset must move: a reader that stayed in front of the record
-        # would read it for ever and never see the edits behind it.
+        # The offset must advance. Otherwise the reader would read this record
+        # again forever and never reach the edits after it.
         return None, FoldResult(attrs.evolve(tables, through=offset), Verdict.MALFORMED)
     record = decoded.unwrap()
     return record, fold(tables, record, offset)
@@ -80,9 +82,9 @@
 def _fold_edit(tables: Tables, edit: Edit, offset: int) -> FoldResult:
     if edit.edit_id in tables.edit_ids:
         return FoldResult(attrs.evolve(tables, through=offset), Verdict.REPEATED)
-    # Refused edits are remembered too. A second copy can arrive late, after
-    # other edits made it valid; it would come into force although its
-    # operator was told that it had been refused.
+    # Ids of rejected edits are remembered too. A second copy can arrive after
+    # other edits have made it valid, and would come into force although its
+    # operator was told that the edit was rejected.
     seen = attrs.evolve(
         tables,
         through=offset,
@@ -103,8 +105,8 @@
 
 
 def _apply(tables: Tables, edit: Edit, offset: int) -> Tables:
-    # Only a changed table is copied: under a millisecond for 23,000 rows, and
-    # a request that started with the old tables keeps them as they were.
+    # Only a changed table is copied, which takes less than 1 ms for 23,000 rows.
+    # Requests that started with the old tables keep using them unchanged.
     routes: dict[str, Versioned[Route]] | None = None
     pools: dict[str, Versioned[Pool]] | None = None
     for change in edit.changes:
--- a/agaterail/records.py
+++ b/agaterail/records.py
@@ -1,4 +1,4 @@
-"""Records that agaterail keeps on the platform's log."""
+"""Records that agaterail appends to the platform's log."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Action(enum.Enum):
-    """What an edit does to one row."""
+    """Action of a change on one row."""
 
     PUT = "put"
     DELETE = "delete"
@@ -24,7 +24,7 @@
 
 @attrs.frozen(kw_only=True)
 class Change:
-    """A change of one row, valid only on the version the operator saw."""
+    """A change of one row, valid only for the version that the operator saw."""
 
     table: TableName
     name: str
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class Edit:
-    """Changes of rows that are accepted together or not at all."""
+    """Changes of rows that are accepted or rejected as a whole."""
 
     edit_id: str
     author: str
@@ -46,14 +46,14 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotChunk:
-    """A part of a snapshot, small enough for one record of the log.
+    """A part of a snapshot that fits into one log record.
 
     Attributes
     ----------
     digest
-        Content hash of the whole snapshot; also its id.
+        Content hash of the whole snapshot, which also identifies it.
     index, count
-        Place of the chunk and number of chunks.
+        Position of the chunk and total number of chunks.
     data
         Compressed rows.
     """
@@ -66,11 +66,10 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotMark:
-    """Announces a snapshot of which every chunk has been appended.
+    """Announces a snapshot after all of its chunks have been appended.
 
-    Chunks stand on a stream of their own, so that daemons that follow the
-    edits do not read them. A set of chunks without a mark is torn; nobody
-    looks at it.
+    Chunks are on a separate stream, so that daemons that follow the edits do not
+    read them. Chunks without a mark are incomplete and are ignored.
 
     Attributes
     ----------
--- a/agaterail/snapshots.py
+++ b/agaterail/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the tables: their binary form and when one is due."""
+"""Binary form of table snapshots, and the schedule for writing them."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     import random
     from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
 
-# The log is assumed to take records of up to 1 MiB. Half of it leaves room for
-# a row of the largest size behind the rows that are already in a chunk.
+# The log is assumed to accept records of up to 1 MiB. Half of that leaves room for
+# one row of the largest size after the rows that are already in a chunk.
 MAX_RECORD_BYTES = 1024 * 1024
 CHUNK_BYTES = MAX_RECORD_BYTES // 2
 COMPRESSION_LEVEL = 1
@@ -34,16 +34,17 @@
 POOL_TAG = "p"
 EDIT_ID_TAG = "e"
 
-# The digest vouches for the bytes, so errors need no path to the field; that
-# makes reading 23,000 rows three times faster.
+# The digest verifies the bytes, so errors need no path to the field. Without
+# detailed validation, reading 23,000 rows is three times faster.
 converter = make_converter(omit_if_default=True, detailed_validation=False)
 STRINGS = tuple[str, ...]
 
 
 def _structure_strings(value: Any, _kind: Any) -> STRINGS:
-    # The general hook makes a generator for each tuple, a third of the time.
+    # The general hook creates a generator per tuple, which takes a third of the
+    # decoding time.
     if type(value) is not tuple or not all(type(text) is str for text in value):
-        raise TypeError("a tuple of texts is needed")
+        raise TypeError("expected a tuple of strings")
     return value
 
 
@@ -52,16 +53,16 @@
 
 @attrs.frozen
 class Snapshot:
-    """Tables in the form in which they are written and sent.
+    """Encoded tables, as written to the log and sent to peers.
 
     Attributes
     ----------
     through
-        Last offset of the tables stream that is covered.
+        Last offset of the tables stream that the snapshot covers.
     digest
-        Content hash; equal for all hosts that hold the same tables.
+        Content hash; equal on all hosts with the same tables.
     chunks
-        Compressed rows, each chunk below the log's record limit.
+        Compressed rows; each chunk is smaller than the log's record limit.
     """
 
     through: int
@@ -70,16 +71,16 @@
 
     @property
     def size(self) -> int:
-        """Return the bytes of all chunks."""
+        """Return the total size of the chunks in bytes."""
         return sum(len(chunk) for chunk in self.chunks)
 
 
 def no_pause() -> None:
-    """Go on at once."""
+    """Continue without a pause; the default for ``pause`` arguments."""
 
 
 def encode(tables: Tables, pause: Callable[[], None] = no_pause) -> Snapshot:
-    """Encode tables; ``pause`` is called every few hundred rows."""
+    """Encode tables, calling ``pause`` every ``ROWS_PER_PAUSE`` rows."""
     chunks = tuple(zlib.compress(raw, COMPRESSION_LEVEL) for raw in _raw_chunks(tables, pause))
     return Snapshot(tables.through, digest_of(tables.through, chunks), chunks)
 
@@ -87,9 +88,9 @@
 def decode(
     through: int, digest: str, chunks: Sequence[bytes], pause: Callable[[], None] = no_pause
 ) -> Result[Tables, str]:
-    """Check and decode the chunks of a snapshot."""
+    """Verify the digest of a snapshot and decode its chunks."""
     if digest_of(through, chunks) != digest:
-        return Failure("the content does not fit its digest")
+        return Failure("the content does not match its digest")
     routes: dict[str, Versioned[Route]] = {}
     pools: dict[str, Versioned[Pool]] = {}
     edit_ids: dict[str, int] = {}
@@ -132,8 +133,8 @@
 
 
 def _pack_rows(tables: Tables) -> Iterator[bytes]:
-    # Rows go in order of their names, so that equal tables have equal digests
-    # on daemons that came to them by different ways.
+    # Rows are sorted by name, so that equal tables have equal digests on all
+    # daemons, regardless of how each built its tables.
     yield from _pack_table(POOL_TAG, tables.pools)
     yield from _pack_table(ROUTE_TAG, tables.routes)
     for edit_id, offset in tables.edit_ids.items():
@@ -146,14 +147,14 @@
 
 
 def _structure_route(fields: Any) -> Versioned[Route]:
-    # A route has only texts, numbers and tuples of texts, which msgpack gives
-    # as they are. Without the general converter 23,000 of them take half of
-    # the time, and a daemon that starts serves that much sooner.
+    # A route has only strings, numbers and tuples of strings, which msgpack
+    # returns in their final types. Bypassing the general converter halves the
+    # time for 23,000 routes, so that a starting daemon serves sooner.
     try:
         row = Route(**fields["row"])
         return Versioned(row, fields["version"], fields.get("author", ""))
     except TypeError:
-        # Another release wrote fields that this one does not know.
+        # Another release wrote fields that are unknown to this one.
         return converter.structure(fields, Versioned[Route])
 
 
@@ -173,18 +174,18 @@
 
 @attrs.frozen(kw_only=True)
 class StreamView:
-    """What a daemon knows of the tables stream.
+    """State of the tables stream as seen by a daemon.
 
     Attributes
     ----------
     through
-        Last offset that is folded.
+        Offset of the last folded record.
     first
-        Oldest offset that is still kept.
+        Oldest offset that has not expired.
     end
-        Offset that the next append would get.
+        Offset of the next append.
     bytes_since_snapshot
-        Bytes of edits after the last usable snapshot.
+        Bytes of edits since the last usable snapshot.
     """
 
     through: int
@@ -194,10 +195,10 @@
 
 
 class SnapshotSchedule:
-    """Decides when this daemon writes a snapshot; no daemon is elected.
+    """Decides when this daemon writes a snapshot, without leader election.
 
-    Each daemon waits a random time once a snapshot is due and gives up when it
-    sees a fresh one. Two that write at the same time do no harm.
+    When a snapshot is due, each daemon waits for a random time and cancels its
+    write when it sees a fresh snapshot. Concurrent writes are harmless.
 
     Parameters
     ----------
@@ -214,7 +215,7 @@
         self.write_at: float | None = None
 
     def on_mark(self, through: int, now: float) -> None:
-        """Note a snapshot that was seen on the log."""
+        """Record that a snapshot was seen on the log."""
         if through <= self.mark_through:
             return
         self.mark_through = through
@@ -222,7 +223,7 @@
         self.write_at = None
 
     def due(self, view: StreamView, now: float) -> bool:
-        """Tell whether to write now."""
+        """Return whether to write a snapshot now."""
         jitter_s = self._jitter_s(view, now)
         if jitter_s is None:
             self.write_at = None
@@ -232,16 +233,17 @@
         return now >= self.write_at
 
     def on_failed(self, now: float) -> None:
-        """Try again later after a write that did not succeed."""
+        """Schedule a retry after a failed write."""
         self.write_at = now + self.random.uniform(0, URGENT_JITTER_S)
 
     def _jitter_s(self, view: StreamView, now: float) -> float | None:
         if view.through == NO_VERSION:
             return None
         if self.refresh_at is None:
-            # The age of what stands on the log is not known after a start.
-            # A random first age keeps a herd from writing all at once and
-            # keeps daemons that restart often from putting it off for ever.
+            # The age of the last snapshot is unknown after a restart. A random
+            # initial age prevents daemons that start together from all writing
+            # at once, and daemons that restart often from postponing the write
+            # forever.
             self.refresh_at = now + self.random.uniform(0, self.interval_s)
         if self._near_expiry(view):
             return min(URGENT_JITTER_S, self.interval_s * JITTER_FRACTION)
@@ -255,8 +257,8 @@
         return None
 
     def _near_expiry(self, view: StreamView) -> bool:
-        # Once a record behind the last snapshot expires, a new reader has no
-        # way to the present state. Half of the kept window is the margin.
+        # Once a record after the last snapshot expires, a new reader cannot
+        # rebuild the current tables. The margin is half of the retained window.
         if view.first == 0:
             return False
         return (self.mark_through + 1 - view.first) * 2 < view.end - view.first
--- a/agaterail/startup.py
+++ b/agaterail/startup.py
@@ -1,7 +1,8 @@
-"""Which tables a daemon serves first, and how it catches up from its peers.
+"""Startup decisions: which tables a daemon serves first, from the log or a peer.
 
-The log may be down or may answer from an older point. What peers serve is a
-floor: a daemon that restarts must not go below an offset that it served before.
+The log may be down or may return stale data. The newest offset that the queried
+peers serve is a lower bound: a daemon that restarts must not serve tables older
+than the ones it served before.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
     import random
     from collections.abc import Iterable
 
-# Chosen by measurement: docs/internals/decisions/0402-start-up.md.
+# See docs/internals/decisions/0402-start-up.md.
 PEERS_PER_ROUND = 8
 SUFFICIENT_ANSWERS = 4
 ANSWER_WAIT_S = 0.1
@@ -27,7 +28,7 @@
 
 
 class Decision(enum.Enum):
-    """What to do next."""
+    """Next action of the startup."""
 
     WAIT = "wait"
     SERVE = "serve"
@@ -35,12 +36,12 @@
 
 
 class QueryRound:
-    """One round of questions to random peers.
+    """One round of offset queries to random peers.
 
     Attributes
     ----------
     answers
-        Offset that each answering peer serves; -1 when it serves nothing yet.
+        Offset that each peer serves; -1 if it serves no tables yet.
     """
 
     def __init__(self, peers: Iterable[str], now: float) -> None:
@@ -50,41 +51,41 @@
         self.answers: dict[str, int] = {}
 
     def on_answer(self, address: str, through: int) -> None:
-        """Note what a peer serves."""
+        """Record the offset that a peer serves."""
         if address in self.pending:
             self.pending.discard(address)
             self.answers[address] = through
 
     def on_failure(self, address: str) -> None:
-        """Note that a peer gave no answer, or not the tables it spoke of."""
+        """Drop a peer that did not answer or did not deliver its tables."""
         self.pending.discard(address)
         self.answers.pop(address, None)
 
     def is_over(self, now: float) -> bool:
-        """Tell whether no more answers are waited for."""
+        """Return whether all peers have answered or the answer wait has ended."""
         return not self.pending or now - self.started_at >= ANSWER_WAIT_S
 
     @property
     def floor(self) -> int:
-        """Return the newest offset that an asked peer serves."""
+        """Return the newest offset that a queried peer serves."""
         return max(self.answers.values(), default=NO_VERSION)
 
     @property
     def best_peer(self) -> str | None:
-        """Return a peer that serves the newest offset."""
+        """Return a peer that serves the newest offset, or None without answers."""
         return max(self.answers, key=lambda address: self.answers[address], default=None)
 
 
 @attrs.define
 class LogState:
-    """What the log has shown since the start.
+    """What the log has shown since startup began.
 
     Attributes
     ----------
     at_end
-        Whether the log has been read to its end once.
+        Whether the log has been read to its end at least once.
     failed
-        Whether the last read failed or met a hole.
+        Whether the last read failed or found a gap.
     """
 
     at_end: bool = False
@@ -92,12 +93,13 @@
 
 
 class StartupPlan:
-    """Decides when this daemon serves, and from which source.
+    """Decides when this daemon starts to serve, and from which source.
 
     Parameters
     ----------
     peers_per_round, sufficient_answers
-        Peers asked in a round and answers waited for.
+        Peers queried per round, and answers that suffice to decide before the
+        round is over.
     """
 
     def __init__(
@@ -117,12 +119,12 @@
         self.round_pause_s = ANSWER_WAIT_S
 
     def next_round(self, peers: Iterable[str] | None, now: float) -> tuple[str, ...]:
-        """Return the peers to ask now.
+        """Start a new round if one is needed, and return the peers to query.
 
         Parameters
         ----------
         peers
-            All other daemons, or None while the host list has not answered.
+            All other daemons, or None if the host list has not answered yet.
         """
         if self.round is not None and not self._needs_round(self.round, now):
             return ()
@@ -130,7 +132,7 @@
             return ()
         candidates = sorted(set(peers or ()) - self.tried_peers)
         if not candidates:
-            # Everyone has been asked once: begin again.
+            # All peers have been queried once, so start over.
             self.tried_peers.clear()
             candidates = sorted(peers or ())
         chosen = self.random.sample(candidates, min(self.peers_per_round, len(candidates)))
@@ -139,14 +141,14 @@
         return tuple(chosen)
 
     def decide(self, own_through: int, now: float) -> Decision:
-        """Return the next step for a daemon whose log gave ``own_through``."""
+        """Return the next action, given the offset that was read from the log."""
         current = self.round
         if current is None:
             return Decision.WAIT
         if len(current.answers) < self.sufficient_answers and not current.is_over(now):
             return Decision.WAIT
         if current.floor > own_through:
-            # The log may be about to answer with newer tables than the peers.
+            # The log may be about to return newer tables than the peers.
             log_may_answer = now - self.started_at < LOG_WAIT_S
             if log_may_answer and not (self.log.at_end or self.log.failed):
                 return Decision.WAIT
@@ -160,8 +162,9 @@
             return True
         if current.floor > NO_VERSION or not current.is_over(now):
             return False
-        # Peers that serve nothing answer at once. Without a pause a herd that
-        # starts while the log is down would ask hundreds of times a second.
+        # Peers without tables answer at once. Without a pause, daemons that start
+        # together while the log is down would each send hundreds of queries per
+        # second.
         if now - current.started_at < self.round_pause_s:
             return False
         self.round_pause_s = min(MAX_ROUND_PAUSE_S, 2 * self.round_pause_s)
--- a/agaterail/table_files.py
+++ b/agaterail/table_files.py
@@ -1,4 +1,4 @@
-"""Tables as TOML files in version control."""
+"""Read tables from TOML files and compute the changes that apply them."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def read(paths: Iterable[str]) -> Result[Tables, list[FileProblem]]:
-    """Read files and directories of files into tables that are checked as a whole."""
+    """Read TOML files and directories into tables, and validate them as a whole."""
     problems: list[FileProblem] = []
     routes: dict[str, Versioned[Route]] = {}
     pools: dict[str, Versioned[Pool]] = {}
@@ -41,7 +41,7 @@
         for table, row in _read_file(file, problems):
             row_path = (table, row.name)
             if row_path in source_files:
-                text = f"{table.value}.{row.name}: also in {source_files[row_path]}"
+                text = f"{table.value}.{row.name}: also defined in {source_files[row_path]}"
                 problems.append(FileProblem(str(file), text))
             source_files[row_path] = str(file)
             problems.extend(FileProblem(str(file), str(item)) for item in row_problems(row))
@@ -58,7 +58,7 @@
 
 
 def changes_between(current: Tables, desired: Tables) -> tuple[Change, ...]:
-    """Return the changes that make the tables in force equal to the wanted ones."""
+    """Return the changes that turn the current tables into the desired ones."""
     changes: list[Change] = []
     for table in (TableName.POOLS, TableName.ROUTES):
         old = current.rows_of(table)
@@ -137,7 +137,7 @@
         return None
     try:
         return codec.converter.structure({**fields, "name": name}, kind)
-    except Exception as error:  # cattrs groups the problems of all fields
+    except Exception as error:  # cattrs raises one group for all fields
         for text in _structure_errors(error):
             problems.append(FileProblem(file, f"{row_path}: {text}"))
         return None
--- a/agaterail/table_rules.py
+++ b/agaterail/table_rules.py
@@ -1,4 +1,4 @@
-"""Checks of single rows and of the two tables joined by name."""
+"""Validation of single rows and of references between the two tables."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class TableProblem:
-    """One reason why a row or the joined tables are not valid."""
+    """One reason why a row or a reference between the tables is invalid."""
 
     table: TableName
     row: str
@@ -37,7 +37,7 @@
 
 
 def row_problems(row: Row) -> list[TableProblem]:
-    """Return all problems of one row by itself."""
+    """Return all problems of a row that do not depend on other rows."""
     if isinstance(row, Pool):
         return list(_pool_problems(row))
     return list(_route_problems(row))
@@ -46,10 +46,10 @@
 def cross_table_problems(
     tables: Tables, changed: Iterable[tuple[TableName, str]]
 ) -> list[TableProblem]:
-    """Return the problems that the changed rows cause between the tables.
+    """Return the invalid references that the changed rows cause.
 
-    Only routes that changed, and routes of pools that changed, can have become
-    invalid; the rest was valid before.
+    Only changed routes and routes to changed pools are checked, because all other
+    routes were valid before and cannot have become invalid.
     """
     routes: set[str] = set()
     pools: set[str] = set()
--- a/agaterail/table_text.py
+++ b/agaterail/table_text.py
@@ -1,4 +1,4 @@
-"""Tables and changes as text for operators: TOML, JSON and plans."""
+"""Format tables and changes for operators as TOML, JSON and plans."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def plan_lines(current: Tables, changes: Sequence[Change]) -> Iterator[str]:
-    """Describe each change against what is in force, and the sum."""
+    """Describe each change relative to the current tables, then the totals."""
     counts = {"+": 0, "~": 0, "-": 0}
     for change in changes:
         sign = _sign(change)
@@ -38,7 +38,7 @@
 
 
 def toml_lines(tables: Tables) -> Iterator[str]:
-    """Write the tables as a table file, with versions and authors as comments."""
+    """Format the tables as a table file, with versions and authors in comments."""
     yield f"# In force through offset {tables.through}."
     for versioned in _sorted_rows(tables):
         table = TableName.ROUTES if isinstance(versioned.row, Route) else TableName.POOLS
@@ -50,7 +50,7 @@
 
 
 def as_json(tables: Tables) -> str:
-    """Write the tables as one JSON object."""
+    """Format the tables as one JSON object."""
     found: dict[str, Any] = {"through": tables.through, "pools": {}, "routes": {}}
     for versioned in _sorted_rows(tables):
         table = TableName.ROUTES if isinstance(versioned.row, Route) else TableName.POOLS
@@ -63,7 +63,7 @@
 
 
 def conflict_lines(current: Tables, conflicts: Iterable[Change]) -> Iterator[str]:
-    """Tell for each row in conflict what is in force now and by whom."""
+    """Describe the row in force and its author for each conflicting change."""
     for change in conflicts:
         row_path = f"{change.table.value}.{change.name}"
         rows: Mapping[str, Versioned[Any]] = current.rows_of(change.table)
@@ -81,7 +81,7 @@
 
 
 def history_line(entry: FoldedRecord) -> str:
-    """Describe one record and its verdict."""
+    """Format one record and its verdict as a line of text."""
     record = entry.record
     line = f"{entry.offset} {entry.result.verdict.value}"
     if isinstance(record, Edit):
@@ -96,7 +96,7 @@
 
 
 def history_json(entry: FoldedRecord) -> str:
-    """Return one record and its verdict as a line of JSON."""
+    """Format one record and its verdict as a line of JSON."""
     found: dict[str, Any] = {
         "offset": entry.offset,
         "verdict": entry.result.verdict.value,
@@ -161,7 +161,7 @@
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, str):
-        # JSON's escapes are TOML's, but for DEL, which TOML wants escaped.
+        # JSON escapes are valid in TOML. TOML also requires DEL to be escaped.
         return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007F")
     if isinstance(value, dict):
         return (
--- a/agaterail/tables.py
+++ b/agaterail/tables.py
@@ -26,7 +26,7 @@
 
 
 class PoolKind(enum.Enum):
-    """What the targets of a pool are."""
+    """Kind of the targets of a pool."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -34,7 +34,7 @@
 
 @attrs.frozen(kw_only=True)
 class TargetEntry:
-    """One target of a pool and the failure domain it stands in."""
+    """One target of a pool and its failure domain."""
 
     address: str
     domain: str
@@ -42,14 +42,14 @@
 
 @attrs.frozen(kw_only=True)
 class Pool:
-    """A named set of targets with the state that they should have.
+    """A named set of targets and their desired state.
 
     Attributes
     ----------
     kind
         Whether the targets are model engines or plain services.
     targets
-        Addresses of the form IP:port, each with its failure domain.
+        Addresses in the form IP:port, each with its failure domain.
     model
         Model that the engines should have loaded.
     adapters
@@ -57,20 +57,20 @@
     role
         Role that the engines should be in.
     policy
-        Policy that chooses among the targets.
+        Policy that selects a target for each request.
     weights_version, also_serve
-        Weights that engines should load, and older ones that may go on
-        answering until they have.
+        Weights that engines should load, and older weights that engines may
+        keep serving until they have loaded them.
     fencing
-        Whether the engines refuse orders with an old fencing number.
+        Whether the engines reject orders with an old fencing number.
     serving_min
-        Targets that must go on serving during a rollout.
+        Number of targets that must keep serving during a rollout.
     block_tokens
         Tokens in one cached block.
     token_bytes
-        Prompt bytes that count as one token.
+        Prompt bytes that are counted as one token.
     prefill_ms_per_token, decode_ms_per_token
-        Estimates used until an engine's own figures are known.
+        Estimates used until an engine reports its own values.
     import_ms_per_block
         Estimated time to import one cached block; 0 disables imports.
     """
@@ -93,7 +93,7 @@
     policy: str = "cost"
 
     def serves(self, weights_version: str) -> bool:
-        """Tell whether answers of these weights may reach callers."""
+        """Return whether answers from these weights may be sent to callers."""
         if not self.weights_version:
             return True
         return weights_version in (self.weights_version, *self.also_serve)
@@ -101,35 +101,35 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """A named rule that says which callers and requests go to which pool.
+    """A named rule that assigns callers and requests to a pool.
 
     Attributes
     ----------
     workspace
-        Workspace whose cached prefixes the requests may share.
+        Workspace within which requests may share cached prefixes.
     pool
         Name of the pool that serves the route.
     callers
         SHA-256 digests, in hex, of the API keys that may use the route.
     models
-        Model names served; used for chat completions only.
+        Model names served; only for chat completions.
     path_prefix, methods
-        Requests served; used for services only.
+        Requests served; only for services.
     at_most_once_methods
         HTTP methods whose requests are not idempotent.
     priority
-        0 to 9, larger is more urgent; passed to the engine.
+        0 to 9, where larger is more urgent; passed to the engine.
     deadline_ms
-        Longest time to the first byte of the answer.
+        Maximum time to the first byte of the answer.
     max_concurrency, tokens_per_s
-        Limits of the route over all hosts; 0 means no limit.
+        Limits of the route across all hosts; 0 means no limit.
     miss_weight
         Cost of a missing token in units of its own prefill time.
     hedge_after_ms
-        Time without a first token after which an idempotent request goes to a
-        second target as well; 0 means never.
+        Time without a first token after which an idempotent request is also
+        sent to a second target; 0 disables hedging.
     resume_elsewhere
-        Whether a broken stream may be continued on another engine.
+        Whether an interrupted stream may be resumed on another engine.
     """
 
     name: str = attrs.field(converter=interning.text)
@@ -155,7 +155,7 @@
 
 @attrs.frozen
 class Versioned(Generic[R]):
-    """A row with the log offset of the edit that last wrote it."""
+    """A row with its version, which is the log offset of the edit that last wrote it."""
 
     row: R
     version: int
@@ -164,14 +164,14 @@
 
 @attrs.frozen
 class Tables:
-    """Both tables as accepted up to one offset of the log.
+    """Both tables as of one offset of the log.
 
     Attributes
     ----------
     through
-        Offset of the last record that was folded in; -1 before the first.
+        Offset of the last folded record; -1 before the first.
     edit_ids
-        Ids of recently accepted edits with their offsets.
+        Ids of recent edits, accepted or rejected, with their offsets.
     """
 
     routes: Mapping[str, Versioned[Route]] = attrs.field(factory=dict)
@@ -180,7 +180,7 @@
     through: int = NO_VERSION
 
     def pool_of(self, route: Route) -> Pool:
-        """Return the pool that a valid route names."""
+        """Return the pool that a valid route refers to."""
         return self.pools[route.pool].row
 
     def rows_of(self, table: TableName) -> Mapping[str, Versioned[Any]]:
@@ -188,6 +188,6 @@
         return self.routes if table is TableName.ROUTES else self.pools
 
     def version_of(self, table: TableName, name: str) -> int:
-        """Return the version of a row, or -1 when there is no such row."""
+        """Return the version of a row, or -1 if it does not exist."""
         versioned = self.rows_of(table).get(name)
         return NO_VERSION if versioned is None else versioned.version
--- a/agaterail/tables_reader.py
+++ b/agaterail/tables_reader.py
@@ -1,4 +1,4 @@
-"""Read the tables stream in order, and from a snapshot where records are gone."""
+"""Read the tables stream in order, or from a snapshot where records have expired."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class FoldedRecord:
-    """One record with its verdict; ``record`` is None when it is malformed."""
+    """One record with its fold result; ``record`` is None if it is malformed."""
 
     offset: int
     record: TablesRecord | None
@@ -39,18 +39,18 @@
 
 @attrs.frozen
 class Step:
-    """What one read of the log brought.
+    """Result of one read of the log.
 
     Attributes
     ----------
     records
         Records that were folded.
     adopted
-        Whether a snapshot was taken over.
+        Whether the tables of a snapshot were adopted.
     gap
-        Whether records after the held offset have expired unread.
+        Whether records after the reader's offset expired before they were read.
     at_end
-        Whether nothing more was readable.
+        Whether the end of the stream was reached.
     """
 
     records: tuple[FoldedRecord, ...] = ()
@@ -60,7 +60,7 @@
 
 
 class TablesReader:
-    """Holds the tables and moves them forward, never back and over no hole.
+    """Holds the tables and advances them, never backward and never across a gap.
 
     Parameters
     ----------
@@ -84,12 +84,12 @@
 
     @property
     def newest_mark(self) -> SnapshotMark | None:
-        """Return the mark that covers most, of those seen and still kept."""
+        """Return the mark with the highest offset among those seen and not expired."""
         return max(self.marks.values(), key=lambda mark: mark.through, default=None)
 
     @property
     def view(self) -> StreamView:
-        """Return what is known of the stream."""
+        """Return the state of the stream as seen by this reader."""
         return StreamView(
             through=self.tables.through,
             first=self.first,
@@ -98,29 +98,29 @@
         )
 
     def adopt(self, tables: Tables) -> bool:
-        """Take over tables of another source if they are newer."""
+        """Adopt tables from another source if they are newer."""
         if tables.through <= self.tables.through:
             return False
         self.tables = tables
         return True
 
     def step(self, wait_s: float = 0.0) -> Result[Step, LogError]:
-        """Read once and fold what came."""
+        """Read the log once and fold the new records."""
         offset = self.tables.through + 1
         read = self.log.read(TABLES_STREAM, offset, wait_s=wait_s)
         if not isinstance(read, Success):
             return Failure(read.failure())
         log_slice = read.unwrap()
         if offset != self.tables.through + 1:
-            # A peer's tables were adopted while the read was waiting; its
-            # records belong to an older state.
+            # A peer's tables were adopted during the long poll, so its records
+            # belong to an older state.
             return Success(Step())
         self.first, self.end = log_slice.first, log_slice.end
         if log_slice.first > offset:
             return self._recover_from_gap(log_slice)
         records = tuple(self._fold(record.offset, record.data) for record in log_slice.records)
-        # A log that names a later end and returns nothing would keep the
-        # commands reading for ever.
+        # A log that reports a later end but returns no records would otherwise
+        # keep the commands reading forever.
         at_end = not log_slice.records or self.tables.through + 1 >= log_slice.end
         return Success(Step(records, at_end=at_end))
 
@@ -136,18 +136,18 @@
 
     def _add_mark(self, offset: int, mark: SnapshotMark) -> None:
         if mark.through >= offset or mark.rules != RULES_VERSION:
-            # A snapshot cannot cover what comes after its own mark. Taken
-            # over, it would put this reader beyond the log's end, where it
-            # sees no edit any more.
+            # A snapshot cannot cover records after its own mark. Adopting it
+            # would put this reader beyond the end of the log, where it would see
+            # no further edits.
             return
         self.marks = {at: old for at, old in self.marks.items() if at >= self.first}
         self.marks[offset] = mark
 
     def _recover_from_gap(self, log_slice: LogSlice) -> Result[Step, LogError]:
-        """Look for a snapshot beyond the hole.
+        """Look for a snapshot that covers the gap.
 
-        Folding on over the hole would judge edits against tables that lack
-        accepted ones, so this reader would differ from all others for good.
+        Folding across the gap would check edits against tables that lack accepted
+        edits, and this reader would diverge from all others permanently.
         """
         self.marks = {}
         while True:
@@ -166,9 +166,9 @@
                 break
             loaded = load_snapshot(self.log, mark, self.pause)
             if isinstance(loaded, Success):
-                # Reading goes on right behind what the snapshot covers, not
-                # behind its mark: an edit that was accepted while it was being
-                # written stands between the two.
+                # Reading continues after the offset that the snapshot covers,
+                # not after its mark. Edits that were accepted while the snapshot
+                # was being written lie between the two.
                 adopted = self.adopt(loaded.unwrap())
                 return Success(Step(adopted=adopted, gap=self.first > mark.through + 1))
         return Success(Step(gap=True))
@@ -177,7 +177,7 @@
 def load_snapshot(
     log: LogStore, mark: SnapshotMark, pause: Callable[[], None] = no_pause
 ) -> Result[Tables, str]:
-    """Read the chunks of a snapshot; fails if one of them is gone or damaged."""
+    """Read the chunks of a snapshot; fails if one is missing or damaged."""
     chunks: list[bytes] = []
     for offset in mark.chunks:
         read = log.read(SNAPSHOTS_STREAM, offset, limit=1)
@@ -185,7 +185,7 @@
             return Failure(str(read.failure()))
         records = read.unwrap().records
         if not records or records[0].offset != offset:
-            return Failure(f"chunk at offset {offset} is not kept")
+            return Failure(f"chunk at offset {offset} is missing")
         decoded = codec.decode(records[0].data, SnapshotChunk)
         if not isinstance(decoded, Success):
             return Failure(decoded.failure())
@@ -196,12 +196,12 @@
 def write_snapshot(
     log: LogStore, snapshot: snapshots.Snapshot, superseded: Callable[[], bool]
 ) -> Result[int, str]:
-    """Append the chunks and then the mark that makes them count.
+    """Append the chunks, then the mark that makes the snapshot valid.
 
     Parameters
     ----------
     superseded
-        Asked before each append; true ends the write without a mark.
+        Called before each append; true ends the write without a mark.
 
     Returns
     -------
@@ -211,7 +211,7 @@
     offsets: list[int] = []
     for index, data in enumerate(snapshot.chunks):
         if superseded():
-            return Failure("another daemon wrote a fresh one")
+            return Failure("another daemon wrote a newer snapshot")
         chunk = SnapshotChunk(
             digest=snapshot.digest, index=index, count=len(snapshot.chunks), data=data
         )
@@ -220,7 +220,7 @@
             return Failure(f"chunk {index}: {appended.failure()}")
         offsets.append(appended.unwrap())
     if superseded():
-        return Failure("another daemon wrote a fresh one")
+        return Failure("another daemon wrote a newer snapshot")
     mark = SnapshotMark(
         through=snapshot.through, digest=snapshot.digest, chunks=tuple(offsets)
     )
--- a/agaterail/targets.py
+++ b/agaterail/targets.py
@@ -1,4 +1,4 @@
-"""What this process knows of each target."""
+"""Per-process state of each target: load, availability and weights."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 @attrs.define
 class TargetState:
-    """State of one target as seen from this host.
+    """State of one target as seen by this host.
 
     Attributes
     ----------
     in_flight
-        Requests of this process at the target.
+        Number of requests from this process at the target.
     weights_version
-        Weights that its last answer or its home named; empty when not known.
+        Weights reported by its last answer or its home; empty if unknown.
     leaving
-        The host list says that the target leaves.
+        Whether the host list marks the target as leaving.
     unreachable_until, refusing_until
-        Monotonic seconds until which the target is not chosen.
+        Monotonic time in seconds until which the target gets no work.
     refusals
-        Refusals in a row; each doubles the time for which it is left out.
+        Consecutive refusals; each doubles the next pause, up to a maximum.
     """
 
     address: str
@@ -44,18 +44,18 @@
     weights_version: str = ""
 
     def usable(self, now: float) -> bool:
-        """Tell whether new work may go to the target."""
+        """Return whether the target may get new work."""
         return not self.leaving and now >= max(self.unreachable_until, self.refusing_until)
 
 
 class TargetStateTable:
-    """States of all targets that the tables name."""
+    """States of all targets in the tables, by address."""
 
     def __init__(self) -> None:
         self.states: dict[str, TargetState] = {}
 
     def state_of(self, entry: TargetEntry) -> TargetState:
-        """Return the state of a target, made on first use."""
+        """Return the state of a target, creating it on first use."""
         state = self.states.get(entry.address)
         if state is None:
             state = self.states[entry.address] = TargetState(entry.address)
@@ -65,23 +65,23 @@
     def usable(
         self, pool: Pool, now: float, excluded: Iterable[str] = ()
     ) -> list[TargetState]:
-        """Return the targets of a pool that may get new work."""
+        """Return the targets of a pool that may get new work, except excluded ones."""
         states = [self.state_of(entry) for entry in pool.targets]
         return [
             state for state in states if state.usable(now) and state.address not in excluded
         ]
 
     def mark_unreachable(self, address: str, now: float) -> None:
-        """Leave a target out for a while after a failed connection."""
+        """Send a target no work for ``UNREACHABLE_PAUSE_S`` after a failed connection."""
         state = self.states.get(address)
         if state is not None:
             state.unreachable_until = now + UNREACHABLE_PAUSE_S
 
     def mark_refusing(self, address: str, now: float) -> bool:
-        """Leave a target out that refused work; False when it already is.
+        """Pause a target that refused work; False if it is already paused.
 
-        One refusal may have another cause than leaving, so it counts for a
-        while only; the host list alone marks a target for good.
+        A refusal may have other causes than leaving, so the pause is temporary.
+        Only the host list marks a target as leaving permanently.
         """
         state = self.states.get(address)
         if state is None or now < state.refusing_until:
@@ -92,13 +92,13 @@
         return True
 
     def mark_serving(self, address: str) -> None:
-        """Forget the refusals of a target that took work."""
+        """Reset the refusal count of a target that accepted work."""
         state = self.states.get(address)
         if state is not None:
             state.refusals = 0
 
     def set_leaving(self, addresses: set[str]) -> list[str]:
-        """Mark exactly these targets as leaving and return the newly marked."""
+        """Mark exactly these targets as leaving, and return the newly marked ones."""
         newly_leaving: list[str] = []
         for state in self.states.values():
             leaving = state.address in addresses
--- a/tests/test_agaterail/test_controllers/test_drain.py
+++ b/tests/test_agaterail/test_controllers/test_drain.py
@@ -68,8 +68,9 @@
         self.assertEqual(self.ask()[1], "shutting_down")
 
     def test_draining_waits_for_requests_and_their_records(self):
-        # A request ends after the lag and its outcome is not on the log yet,
-        # which is down. The process waits for the record, but not for ever.
+        # A request ends after the lag while the log is down, so its outcome is
+        # not recorded yet. The process must wait for the record, but only for a
+        # limited time.
         self.app.in_flight = 1
         self.drain.begin()
         self.advance(20.0)
@@ -129,9 +130,10 @@
 
 class ProcessDrainTest(unittest.TestCase):
     def test_a_drain_cuts_no_stream_and_refuses_nobody_within_the_lag(self):
-        # SIGTERM comes while streams run and the balancer goes on sending for
-        # its lag. Every stream must end whole, also those that began after the
-        # signal, and the process must end by itself.
+        # SIGTERM arrives while streams are in flight, and the load balancer keeps
+        # sending requests during the drain lag. Every stream must complete,
+        # including those that start after the signal, and the process must exit
+        # by itself.
         with Fleet("error") as fleet, tempfile.TemporaryDirectory() as folder:
             fleet.start_platform()
             fleet.start_engines(1, {"decode_ms": 30.0})
--- a/tests/test_agaterail/test_controllers/test_homes.py
+++ b/tests/test_agaterail/test_controllers/test_homes.py
@@ -25,7 +25,7 @@
 
 
 class FakeEngine:
-    """Control side of an engine; each test sets what it says."""
+    """Control API of an engine whose answers are set by each test."""
 
     def __init__(self):
         self.incarnation = "a"
@@ -59,7 +59,7 @@
 
 
 class InMemoryFleet:
-    """Three daemons and five engines without sockets or clocks."""
+    """Three daemons and five engines without sockets or real clocks."""
 
     def __init__(self):
         self.timers = ManualTimerService()
@@ -138,9 +138,10 @@
             self.assertEqual((decision.address, decision.hit_blocks), (ENGINES[2], BLOCKS))
 
     def test_requests_for_one_cold_prefix_go_to_one_engine(self):
-        # Three daemons get the first requests for a prefix before any event of
-        # it was published. Each engine that computes it alone would cost a
-        # whole prefill; the first dispatch makes the home expect the blocks.
+        # Three daemons receive the first requests for a prefix before any cache
+        # event for it is published. Sending them to different engines would cost
+        # a full prefill on each. The first dispatch makes the home predict the
+        # blocks, so the other daemons choose the same engine.
         chosen = {
             self.fleet.dispatch(app, prefix_of(2), number)
             for number, app in enumerate(self.fleet.apps)
@@ -148,9 +149,9 @@
         self.assertEqual(len(chosen), 1)
 
     def test_daemons_do_not_herd_on_an_idle_engine(self):
-        # All reports say "idle" and stay so, as if they lagged by seconds. Two
-        # daemons send twenty prompts that share nothing. If each counted only
-        # its own, or none, most would wait at one engine.
+        # All load reports stay at "idle", as if they were seconds old. Two daemons
+        # send twenty prompts without a common prefix. If each daemon counted only
+        # its own dispatches, or none, most prompts would queue at one engine.
         chosen = [
             self.fleet.dispatch(self.fleet.apps[number % 2], prefix_of(number), number)
             for number in range(20)
@@ -169,9 +170,9 @@
         self.assertEqual(load.queue_ms(self.fleet.timers.now()), 200.0)
 
     def test_a_dead_home_falls_back_to_hash_order(self):
-        # A home dies and the host list still shows it. Questions to it get no
-        # answer; the engine is judged by hash order and own requests, and every
-        # request still finds a target.
+        # A home dies but is still in the host list. Queries to it get no answer,
+        # so its engines are chosen by hash order and the daemon's own requests in
+        # flight, and every request must still get a target.
         dead = self.fleet.apps[0]
         dead.peers.stop()
         lost = self.fleet.followed(dead)
@@ -218,8 +219,9 @@
         self.assertEqual({view.depth for view in views.values()}, {BLOCKS})
 
     def test_a_restarted_engine_has_no_cached_blocks_and_no_queue(self):
-        # The engine crashes and comes back empty under its address. What was
-        # cached, queued and expected before must not attract a request.
+        # The engine crashes and restarts with an empty cache at the same address.
+        # Blocks cached or predicted before the crash must not attract requests,
+        # and the old queue must not count.
         engine = ENGINES[0]
         fake, prefix = self.fleet.engines[engine], prefix_of(4)
         fake.store(prefix)
@@ -245,8 +247,8 @@
         self.assertEqual((view.depth, view.queue_ms), (BLOCKS, 0.0))
 
     def test_contents_are_not_read_after_every_lost_event(self):
-        # One event in three is lost. Reading a whole cache each time would use
-        # far more of the network than the events.
+        # One event in three is lost. Fetching the full cache contents each time
+        # would use far more bandwidth than the events.
         engine = self.fleet.engines[ENGINES[0]]
         reads = []
         contents = engine.contents
--- a/tests/test_agaterail/test_controllers/test_hosts.py
+++ b/tests/test_agaterail/test_controllers/test_hosts.py
@@ -24,8 +24,8 @@
         return cluster
 
     def test_messages_per_daemon_do_not_grow_with_their_number(self):
-        # In an outage of the log daemons ask each other; a mesh of 410 would
-        # drown itself just then.
+        # In a log outage, daemons query each other. If each queried all others,
+        # 410 daemons would overload themselves at that moment.
         rates = []
         for count in (10, 40):
             cluster = self.cluster(count)
--- a/tests/test_agaterail/test_controllers/test_startup.py
+++ b/tests/test_agaterail/test_controllers/test_startup.py
@@ -32,8 +32,8 @@
         self.assertEqual(fetched, self.old.tables)
 
     def test_chunks_of_two_snapshots_are_never_mixed(self):
-        # An edit comes into force at the peer between two chunks. The peer
-        # must go on with the snapshot that it began, or refuse.
+        # An edit comes into force at the peer between two chunks. The peer must
+        # continue with the same snapshot or reject the query.
         handler = self.old.peers.handlers[TablesQuery]
         count = 0
 
--- a/tests/test_agaterail/test_editing.py
+++ b/tests/test_agaterail/test_editing.py
@@ -32,16 +32,16 @@
         return editing.submit(self.log, self.reader, change, pause)
 
     def test_an_edit_whose_answer_was_lost_is_reported_as_accepted(self):
-        # The append takes effect and its answer is lost. The operator must
-        # not be told that nothing happened, and no second edit may appear.
+        # The append takes effect but its answer is lost. The operator must not be
+        # told that nothing happened, and the edit must not be appended twice.
         self.log.lose_answers = 1
         result = self.submit(edit("e1", put(chat_route(priority=1), 0)))
         self.assertIs(result.unwrap().verdict, Verdict.ACCEPTED)
         self.assertEqual(self.log.appends, 2)
 
     def test_resending_an_edit_after_stale_reads_changes_nothing(self):
-        # The answer is lost and reads come from an older point for a while,
-        # so the tool sends the same edit again; the first copy counts.
+        # The answer is lost and reads are stale for a while, so the tool sends the
+        # same edit again. Only the first copy counts.
         self.log.lose_answers = 1
         self.log.stale_records = 1
 
--- a/tests/test_agaterail/test_fold.py
+++ b/tests/test_agaterail/test_fold.py
@@ -33,8 +33,8 @@
         self.assertEqual(folded.tables.pools, tables.pools)
 
     def test_the_second_of_two_racing_edits_is_a_conflict(self):
-        # Two operators saw version 0 of one route and publish at the same
-        # time. The first offset wins; the second edit would silently undo it.
+        # Two operators edit version 0 of the same route at the same time. The edit
+        # with the lower offset wins; the other would silently overwrite it.
         tables = first_tables()
         first = fold(tables, edit("e1", put(chat_route(priority=1), 0)), 1)
         second = fold(first.tables, edit("e2", put(chat_route(priority=2), 0)), 2)
@@ -42,8 +42,8 @@
         self.assertEqual(second.tables.routes["chat"].row.priority, 1)
 
     def test_a_repeated_edit_changes_nothing(self):
-        # The answer to an append was lost and the operator's tool sends the
-        # edit again; the second copy must not count as another edit.
+        # The answer to an append is lost and the operator's tool sends the edit
+        # again. The second copy must not count as another edit.
         tables = first_tables()
         change = edit("e1", put(chat_route(priority=1), 0))
         once = fold(tables, change, 1).tables
@@ -61,9 +61,10 @@
         self.assertEqual(folded.tables.routes, tables.routes)
 
     def test_a_late_copy_of_a_rejected_edit_stays_rejected(self):
-        # An operator is told of a conflict: another made the row first. The
-        # row is deleted; then a copy of the refused edit arrives late and
-        # fits again. It would come into force behind its operator's back.
+        # An edit is rejected with a conflict because the row already exists. The
+        # row is deleted, and then a late copy of the rejected edit arrives, which
+        # would now be valid. It must not come into force, because its operator was
+        # told that it was rejected.
         tables = first_tables()
         refused = edit("e1", put(chat_route(priority=1)))
         folded = fold(tables, refused, 1)
--- a/tests/test_agaterail/test_startup.py
+++ b/tests/test_agaterail/test_startup.py
@@ -19,8 +19,8 @@
         self.plan = StartupPlan(random.Random(3), 0.0, peers_per_round=4, sufficient_answers=2)
 
     def test_a_log_older_than_the_peers_is_not_served(self):
-        # The log answers from an older point before any peer has answered.
-        # Serving at once would take back what this daemon served before.
+        # The log returns stale data before any peer has answered. Serving it at
+        # once could revert tables that this daemon served before its restart.
         asked = self.plan.next_round(PEERS, 0.0)
         self.plan.log.at_end = True
         self.assertIs(self.plan.decide(7, 0.01), Decision.WAIT)
--- a/tests/test_agaterail/test_tables_reader.py
+++ b/tests/test_agaterail/test_tables_reader.py
@@ -30,7 +30,7 @@
         step = reader.step().unwrap()
         if step.at_end or (step.gap and not step.adopted):
             return step
-    raise AssertionError("the reader does not come to the end")
+    raise AssertionError("the reader does not reach the end of the stream")
 
 
 class TablesReaderTest(unittest.TestCase):
@@ -50,9 +50,9 @@
         return reader.tables.routes["chat"].row.priority
 
     def test_an_edit_accepted_while_a_snapshot_was_written_is_kept(self):
-        # A daemon encodes the tables through offset 0; an edit is accepted at
-        # offset 1; the snapshot's mark follows at offset 2. Older records
-        # expire. A reader that went on behind the mark would lose the edit.
+        # A daemon encodes the tables through offset 0, an edit is accepted at
+        # offset 1, the snapshot's mark follows at offset 2, and older records
+        # expire. A reader that continued after the mark would lose the edit.
         old = self.reader.tables
         self.change("e1", 1, 0)
         self.write(old)
@@ -63,7 +63,8 @@
         self.assertEqual(reader.tables.through, 2)
 
     def test_a_late_snapshot_does_not_revert_newer_edits(self):
-        # A paused daemon writes a snapshot of old tables after newer edits.
+        # A daemon that was paused writes a snapshot of old tables after newer
+        # edits.
         old = self.reader.tables
         self.change("e1", 1, 0)
         read_all(self.reader)
@@ -72,9 +73,9 @@
         self.assertEqual(self.priority_of(self.reader), 1)
 
     def test_a_gap_is_not_folded_over(self):
-        # Records 1 and 2 expire unread; record 3 changes what record 2 wrote.
-        # Judged without 1 and 2 it would be a conflict here and accepted
-        # everywhere else, and this daemon would differ for good.
+        # Records 1 and 2 expire unread, and record 3 changes the row that record 2
+        # wrote. Folded without 1 and 2, it would be a conflict here but accepted
+        # everywhere else, and this daemon would diverge permanently.
         first = self.change("e1", 1, 0)
         second = self.change("e2", 2, first)
         self.change("e3", 3, second)
@@ -98,8 +99,9 @@
         self.assertEqual(self.reader.tables, other.tables)
 
     def test_an_older_complete_snapshot_replaces_one_with_an_expired_chunk(self):
-        # The first chunk of the newest snapshot expires between its write and
-        # the read; the older snapshot still reaches the present by its edits.
+        # The first chunk of the newest snapshot expires between the write and the
+        # read. The older snapshot and the edits after it still give the current
+        # tables.
         old = self.reader.tables
         self.write(old)
         self.change("e1", 1, 0)
@@ -112,7 +114,7 @@
         self.assertEqual(self.priority_of(reader), 1)
 
     def test_chunks_without_a_mark_are_ignored(self):
-        # The writer dies between the last chunk and the mark.
+        # The writer stops between the last chunk and the mark.
         calls = iter([False, True])
         snapshot = snapshots.encode(self.reader.tables)
         written = tables_reader.write_snapshot(self.log, snapshot, lambda: next(calls))
@@ -131,8 +133,8 @@
         self.assertNotIsInstance(decoded, Success)
 
     def test_a_mark_that_covers_later_records_is_ignored(self):
-        # Taken over, it would put a reader beyond the log's end, where it sees
-        # no edit any more.
+        # Adopting it would put a reader beyond the end of the log, where it would
+        # see no further edits.
         ahead = snapshots.encode(attrs.evolve(self.reader.tables, through=50))
         tables_reader.write_snapshot(self.log, ahead, not_superseded)
         self.log.expire(TABLES_STREAM, 1)
@@ -141,15 +143,15 @@
         self.assertEqual(reader.tables.through, -1)
 
     def test_a_malformed_record_does_not_block_later_edits(self):
-        # The tables used to stay in front of the record and read it again and
-        # again, 50 times a second, as long as it was the last one.
+        # If the offset did not advance past the record, the reader would read it
+        # again 50 times a second for as long as it is the last record.
         self.log.append(TABLES_STREAM, b"\xc1 no record")
         self.change("e1", 1, 0)
         read_all(self.reader)
         self.assertEqual(self.priority_of(self.reader), 1)
 
     def test_an_empty_read_counts_as_the_end_of_the_log(self):
-        # The commands would otherwise ask it again and again without a pause.
+        # Otherwise the commands would read in a loop without a pause.
         class EmptyLog(MemoryLogStore):
             def read(self, *arguments, **named):
                 return Success(LogSlice([], 0, 9))
@@ -157,8 +159,8 @@
         self.assertTrue(TablesReader(EmptyLog()).step().unwrap().at_end)
 
     def test_a_long_poll_does_not_revert_tables_adopted_meanwhile(self):
-        # A peer's newer tables arrive while the read of older records is
-        # still waiting; folding these on the new tables would be wrong.
+        # A peer's newer tables are adopted while a long poll for older records is
+        # in flight. Folding its records into the newer tables would be wrong.
         ahead = attrs.evolve(self.reader.tables, through=7)
         reader = self.reader
 
@@ -184,8 +186,8 @@
         self.assertEqual(snapshots.encode(loaded).digest, snapshot.digest)
 
     def test_a_route_with_a_field_of_a_later_release_is_read(self):
-        # Two releases run side by side; the later one has added a field. The
-        # earlier one must not lose its way to start from a snapshot.
+        # Two releases run side by side, and the later one has added a field. The
+        # earlier one must still be able to start from a snapshot.
         row = {"later": 1, "name": "chat", "workspace": "w"}
         row |= {"callers": ["0" * 64], "pool": "assistant"}
         fields = {"row": row, "version": 3}
@@ -218,7 +220,7 @@
         self.assertFalse(schedule.due(view, 3000.0))
 
     def test_simultaneous_starts_write_few_snapshots(self):
-        # 410 daemons start at once on a log that has begun to expire.
+        # 410 daemons start at once on a log whose records have begun to expire.
         daemons = [self.schedule(seed) for seed in range(410)]
         written = 0
         seen_after_s = 1.0
@@ -238,8 +240,8 @@
         self.assertLess(written, 20)
 
     def test_the_last_snapshot_never_expires_before_the_next(self):
-        # Retention of 4 intervals, a quiet log with one daemon: the age alone
-        # must bring the next one in time.
+        # With one daemon, a log without edits and a retention of 4 intervals, the
+        # age alone must trigger the next snapshot in time.
         schedule = self.schedule()
         schedule.on_mark(5, 0.0)
         view = StreamView(through=6, first=0, end=7)
--- a/tests/test_agaterail/test_tables_stateful.py
+++ b/tests/test_agaterail/test_tables_stateful.py
@@ -1,4 +1,4 @@
-"""Operators, a faulty log and daemons that come and go, against one list of edits."""
+"""Stateful test of the tables: concurrent edits, a faulty log, and daemon restarts."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 class RecordingLog(MemoryLogStore):
-    """Log with an oracle of its own for the routes after each record.
+    """Log with an independent oracle for the routes after each record.
 
     Attributes
     ----------
-    after
+    expected_routes
         Priority and version of each route, by offset of the last record.
-    racing
-        Records appended while the next snapshot is being written.
+    concurrent_edits
+        Records to append while the next snapshot is being written.
     """
 
     def __init__(self):
@@ -176,8 +176,8 @@
 
     @rule(part=st.floats(0, 1))
     def expire(self, part):
-        # Records may expire once a daemon that lives has read them, whether or
-        # not it has written a snapshot: the outage past retention.
+        # Records may expire once a live daemon has read them, even if no snapshot
+        # covers them, as in a log outage longer than the retention.
         held = [
             app.controllers["tables"].reader.tables.through
             for number, app in self.cluster.apps.items()
@@ -197,8 +197,8 @@
 
     @rule(number=numbers)
     def kill(self, number):
-        # Not the last one that knows what the log has lost: nobody could
-        # bring that back.
+        # The last daemon that holds tables which the log has lost is not killed,
+        # because nothing could restore them.
         others = self.cluster.holders() - {number}
         if number in self.cluster.apps and (others or self.cluster.log_has_a_way()):
             self.cluster.kill(number)
@@ -225,8 +225,10 @@
             self.cluster.timers.advance(0.1)
             self.cluster.step(number)
         if floor != NO_VERSION:
-            assert app.ready, "a peer answers and the daemon does not serve"
-        assert app.tables.through >= floor, "a restart went below what peers serve"
+            assert app.ready, "the daemon does not serve although a peer answers"
+        assert app.tables.through >= floor, (
+            "a restarted daemon serves older tables than its peers"
+        )
         self.served[number] = app.tables.through
 
     @invariant()
@@ -261,9 +263,9 @@
 
 class SimultaneousStartTest(unittest.TestCase):
     def test_starting_daemons_find_the_one_serving_peer_while_the_log_is_down(self):
-        # All daemons but one are killed at once and started again while the
-        # log is down. Most peers that they ask know nothing themselves; all
-        # must come to serve what the old one serves, and nothing older.
+        # All daemons but one are killed at once and restarted while the log is
+        # down. Most peers that they query have no tables either. All must
+        # eventually serve the tables of the remaining daemon, and nothing older.
         cluster = Cluster(count=30)
         log = cluster.log
         log.append(TABLES_STREAM, codec.encode(edit("e", put(engine_pool())), TablesRecord))
@@ -278,9 +280,9 @@
             self.assertEqual(app.tables.through, 0)
 
     def test_daemons_without_tables_query_each_other_at_a_bounded_rate(self):
-        # All daemons are killed at once and start while the log is down. Each
-        # answers at once that it serves nothing, so each used to ask again at
-        # each step, 400 messages a second.
+        # All daemons are killed at once and restarted while the log is down. Each
+        # answers at once that it serves nothing. Without a pause between rounds,
+        # each daemon would query again in every step, 400 messages per second.
         cluster = Cluster(count=20)
         cluster.log.down = True
         for number in range(20):
@@ -302,8 +304,8 @@
         self.assertTrue(app.ready)
 
     def test_a_stale_log_does_not_revert_a_restarted_daemon(self):
-        # The log answers from an older point; a peer has read the newest
-        # edit. The daemon served it before its restart.
+        # The log returns stale data, but a peer has read the newest edit, which
+        # the daemon served before its restart.
         cluster = Cluster()
         log = cluster.log
         log.append(TABLES_STREAM, codec.encode(edit("e", put(engine_pool())), TablesRecord))
