--- a/agaterail/controllers/__init__.py
+++ b/agaterail/controllers/__init__.py
@@ -25,5 +25,5 @@
         """Take one step toward the desired state."""
 
     def status(self) -> dict[str, Any]:
-        """Return what the ``status`` command shows of this controller."""
+        """Return what the ``status`` command shows for this controller."""
         return {}
--- a/agaterail/controllers/claims.py
+++ b/agaterail/controllers/claims.py
@@ -101,7 +101,7 @@
         self.schedule(BATCH_DELAY_S)
 
     def release(self, release: Release) -> None:
-        """Queue the release of an attempt that will never run."""
+        """Queue the release of an attempt that will not run."""
         self.queue.abandon(release.attempt)
         self.listeners.pop(release.attempt, None)
         self.queue.release(release)
--- a/agaterail/controllers/drain.py
+++ b/agaterail/controllers/drain.py
@@ -53,8 +53,8 @@
     """Drains this process after SIGTERM.
 
     First, readiness fails and peers are notified. New connections are served
-    until the load balancer must have noticed. Then requests in flight complete,
-    and the outcomes of claimed requests are written to the log.
+    until the load balancer must have noticed the failed readiness. Then requests
+    in flight complete, and outcomes of claimed requests are written to the log.
 
     Attributes
     ----------
@@ -123,7 +123,7 @@
 
 
 class ShutdownFilter(Filter):
-    """Closes connections after each answer while draining, and rejects requests later."""
+    """Asks callers to reconnect while draining, then rejects new requests."""
 
     order = 50
 
@@ -141,7 +141,7 @@
 
 
 class LeavingTargetTracker:
-    """Marks a target as refusing after a refusal here or a notice from a peer."""
+    """Marks targets that refuse work, and shares refusals with some peers."""
 
     def __init__(self, app: Application, seed: int | None = None) -> None:
         self.app = app
--- a/agaterail/controllers/startup.py
+++ b/agaterail/controllers/startup.py
@@ -81,7 +81,7 @@
 
 
 class StartupController(Controller):
-    """Runs the startup, and queries peers later whenever the log is unusable."""
+    """Runs the startup, and later queries peers whenever the log is unusable."""
 
     name = "startup"
     period_s = 1.0
--- a/agaterail/fold.py
+++ b/agaterail/fold.py
@@ -54,9 +54,9 @@
         Log offset of the record.
     """
     if record.rules != RULES_VERSION:
-        # Another release may apply this record by different rules. Every daemon
-        # that does not know the rules rejects it, so that their tables stay
-        # equal.
+        # A daemon of another release might judge this record differently. Every
+        # daemon that does not know its rules rejects it, so that their tables
+        # stay equal.
         return FoldResult(attrs.evolve(tables, through=offset), Verdict.UNKNOWN_RULES)
     if isinstance(record, SnapshotMark):
         # A reader that folds in order already has the content of the snapshot.
--- a/agaterail/startup.py
+++ b/agaterail/startup.py
@@ -1,4 +1,4 @@
-"""Startup decisions: which tables a daemon serves first, from the log or a peer.
+"""Decide which tables a daemon serves first, from the log or from a peer.
 
 The log may be down or may return stale data. The newest offset that the queried
 peers serve is a lower bound: a daemon that restarts must not serve tables older
--- a/agaterail/table_text.py
+++ b/agaterail/table_text.py
@@ -68,13 +68,13 @@
         row_path = f"{change.table.value}.{change.name}"
         rows: Mapping[str, Versioned[Any]] = current.rows_of(change.table)
         versioned = rows.get(change.name)
-        seen = _version_text(change.expected_version)
+        expected = _version_text(change.expected_version)
         if versioned is None:
-            yield f"{row_path}: you saw {seen}; it has been deleted since."
+            yield f"{row_path}: expected {expected}, but the row has been deleted."
             continue
         yield (
-            f"{row_path}: you saw {seen}; "
-            f"in force is version {versioned.version} by {versioned.author}:"
+            f"{row_path}: expected {expected}, "
+            f"but version {versioned.version} by {versioned.author} is in force:"
         )
         for name, value in _fields_of(versioned.row).items():
             yield f"    {name} = {_toml_value(value)}"
@@ -175,4 +175,4 @@
 
 
 def _version_text(version: int) -> str:
-    return "no such row" if version == NO_VERSION else f"version {version}"
+    return "no row" if version == NO_VERSION else f"version {version}"
--- a/tests/test_agaterail/test_cmd/test_tables.py
+++ b/tests/test_agaterail/test_cmd/test_tables.py
@@ -117,7 +117,7 @@
         late = edit("e2", put(chat_route(priority=2), 0))
         folded = fold(taken, late, 2)
         text = "\n".join(table_text.conflict_lines(folded.tables, folded.conflicts))
-        self.assertIn("you saw version 0; in force is version 1 by ada", text)
+        self.assertIn("expected version 0, but version 1 by ada is in force", text)
         self.assertIn("priority = 1", text)
 
 
--- a/tests/test_agaterail/test_controllers/test_drain.py
+++ b/tests/test_agaterail/test_controllers/test_drain.py
@@ -106,26 +106,26 @@
             self.assertEqual(len(app.targets.usable(pool, app.timers.now())), 1)
 
     def test_the_host_list_does_not_clear_a_refusal(self):
-        book, pool = TargetStateTable(), engine_pool(["127.0.0.1:1"])
-        book.usable(pool, 0.0)
-        book.mark_refusing("127.0.0.1:1", 0.0)
-        book.set_leaving(set())
-        self.assertEqual(book.usable(pool, 0.5), [])
-        book.set_leaving({"127.0.0.1:1"})
-        self.assertEqual(book.usable(pool, 99.0), [])
+        targets, pool = TargetStateTable(), engine_pool(["127.0.0.1:1"])
+        targets.usable(pool, 0.0)
+        targets.mark_refusing("127.0.0.1:1", 0.0)
+        targets.set_leaving(set())
+        self.assertEqual(targets.usable(pool, 0.5), [])
+        targets.set_leaving({"127.0.0.1:1"})
+        self.assertEqual(targets.usable(pool, 99.0), [])
 
     def test_each_refusal_in_a_row_doubles_the_pause(self):
-        book, pool, now = TargetStateTable(), engine_pool(["127.0.0.1:1"]), 0.0
-        book.usable(pool, now)
+        targets, pool, now = TargetStateTable(), engine_pool(["127.0.0.1:1"]), 0.0
+        targets.usable(pool, now)
         spans = []
         for _ in range(6):
-            book.mark_refusing("127.0.0.1:1", now)
-            spans.append(book.states["127.0.0.1:1"].refusing_until - now)
-            now = book.states["127.0.0.1:1"].refusing_until
+            targets.mark_refusing("127.0.0.1:1", now)
+            spans.append(targets.states["127.0.0.1:1"].refusing_until - now)
+            now = targets.states["127.0.0.1:1"].refusing_until
         self.assertEqual(spans, [1.0, 2.0, 4.0, 8.0, 8.0, 8.0])
-        book.mark_serving("127.0.0.1:1")
-        book.mark_refusing("127.0.0.1:1", now)
-        self.assertEqual(book.states["127.0.0.1:1"].refusing_until, now + 1.0)
+        targets.mark_serving("127.0.0.1:1")
+        targets.mark_refusing("127.0.0.1:1", now)
+        self.assertEqual(targets.states["127.0.0.1:1"].refusing_until, now + 1.0)
 
 
 class ProcessDrainTest(unittest.TestCase):
