--- a/tests/test_agaterail/test_controllers/test_drain.py
+++ b/tests/test_agaterail/test_controllers/test_drain.py
@@ -93,7 +93,7 @@
 
 
 class LeavingTargetTest(unittest.TestCase):
-    def test_a_refusal_marks_a_target_here_and_at_the_peers_for_a_while(self):
+    def test_a_refusal_pauses_a_target_here_and_at_the_peers(self):
         network = MemoryNetwork()
         apps = [make_app(address, network) for address in MEMBERS]
         pool = engine_pool(["127.0.0.1:1"])
@@ -129,7 +129,7 @@
 
 
 class ProcessDrainTest(unittest.TestCase):
-    def test_a_drain_cuts_no_stream_and_refuses_nobody_within_the_lag(self):
+    def test_draining_completes_streams_and_serves_requests_within_the_lag(self):
         # SIGTERM arrives while streams are in flight, and the load balancer keeps
         # sending requests during the drain lag. Every stream must complete,
         # including those that start after the signal, and the process must exit
