--- a/agaterail/cmd/gateway.py
+++ b/agaterail/cmd/gateway.py
@@ -13,7 +13,7 @@
 from returns.result import Success
 
 from agaterail import logs
-from agaterail.gateway.daemon import Daemon, boot_now
+from agaterail.gateway.daemon import Daemon, boottime_s
 from agaterail.gateway.gracefulstop import GracefulStop
 from agaterail.gateway.logbudget import HostField, LogBudget
 from agaterail.gateway.logsink import LogSink
@@ -46,8 +46,8 @@
     processor_at
         Processor time of the process at that moment, in seconds.
     """
-    began = boot_now() if started_at is None else started_at
-    startup_timer = StartupTimer(began, processor_at, boot_now)
+    began = boottime_s() if started_at is None else started_at
+    startup_timer = StartupTimer(began, processor_at, boottime_s)
     path = settings_file or os.environ.get(names.SETTINGS_VARIABLE, "")
     if not path:
         print(
@@ -69,7 +69,7 @@
         "info",
         json_lines=True,
         stream=sink,
-        processors=[HostField(chosen.host), LogBudget(boot_now)],
+        processors=[HostField(chosen.host), LogBudget(boottime_s)],
     )
     startup_timer.log_stage("Settings read.")
     store = PlatformStore(chosen.store.address, chosen.store.parts)
--- a/agaterail/gateway/controlstore.py
+++ b/agaterail/gateway/controlstore.py
@@ -20,7 +20,7 @@
 
 
 class Feed(enum.Enum):
-    """A log of changes in the store that every daemon follows."""
+    """A log of changes that others write to the store and every daemon follows."""
 
     OPERATORS = "operators"
     TARGETS = "targets"
--- a/agaterail/gateway/daemon.py
+++ b/agaterail/gateway/daemon.py
@@ -55,7 +55,7 @@
 HOUSEKEEPING_PERIOD_S = 0.5
 
 
-def boot_now() -> float:
+def boottime_s() -> float:
     """Return the monotonic time in seconds, including time in which the host is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -73,7 +73,7 @@
         self.settings = settings
         self.store = store
         self.engine_control = engine_control
-        self.now = boot_now
+        self.now = boottime_s
         self.boot = secrets.token_hex(BOOT_BYTES)
         self.random = random.Random()
         bounds = settings.bounds
--- a/agaterail/gateway/documents.py
+++ b/agaterail/gateway/documents.py
@@ -143,7 +143,7 @@
 
 
 def _diff_rows(former: Sequence[bytes], rows: Sequence[bytes]) -> Iterator[Piece]:
-    places = {row: place for place, row in enumerate(former)}
+    row_indexes = {row: index for index, row in enumerate(former)}
     start = count = 0
     new_rows: list[bytes] = []
     for row in rows:
@@ -151,12 +151,12 @@
         if not new_rows and end < len(former) and former[end] == row:
             count += 1
             continue
-        place = places.get(row)
-        if place is None:
+        index = row_indexes.get(row)
+        if index is None:
             new_rows.append(row)
             continue
         yield Piece(start, count, tuple(new_rows))
-        start, count, new_rows = place, 1, []
+        start, count, new_rows = index, 1, []
     yield Piece(start, count, tuple(new_rows))
 
 
--- a/agaterail/gateway/feedhub.py
+++ b/agaterail/gateway/feedhub.py
@@ -112,9 +112,9 @@
 
     def _share_with_peers(self, feed: Feed, reading: Reading) -> None:
         """Offer records to peers before they are decoded here."""
-        kept = self.relay.feeds[feed]
-        kept.add_reading(reading)
-        kept.record_contact(reading.arrival.heard_at)
+        relayed_feed = self.relay.feeds[feed]
+        relayed_feed.add_reading(reading)
+        relayed_feed.record_contact(reading.arrival.heard_at)
         if reading.records:
             self.new_records.set()
             self.new_records.clear()
--- a/agaterail/gateway/gracefulstop.py
+++ b/agaterail/gateway/gracefulstop.py
@@ -35,20 +35,22 @@
     def run(self) -> None:
         """Drain connections, at most for the grace period of the platform."""
         daemon = self.daemon
-        began = daemon.now()
+        started_at = daemon.now()
         daemon.stopping = True
         daemon.front.begin_stop()
         logger.info("Stopping.", busy=daemon.front.busy)
         gevent.spawn(self._leave_fleet)
-        last = began + daemon.settings.bounds.grace_s - KILL_MARGIN_S
+        deadline = started_at + daemon.settings.bounds.grace_s - KILL_MARGIN_S
         lag = min(BALANCER_LAG_S, daemon.settings.bounds.grace_s / 2.0)
         gevent.sleep(lag)
         daemon.front.close_idle()
         daemon.front.stop_accepting()
-        while daemon.front.connections and daemon.now() < last:
+        while daemon.front.connections and daemon.now() < deadline:
             daemon.front.close_idle()
             gevent.sleep(POLL_INTERVAL_S)
-        logger.info("Stopped.", took_s=round(daemon.now() - began, 3), cut=daemon.front.busy)
+        logger.info(
+            "Stopped.", took_s=round(daemon.now() - started_at, 3), cut=daemon.front.busy
+        )
 
     def _leave_fleet(self) -> None:
         self.daemon.weights.release()
--- a/agaterail/gateway/membership.py
+++ b/agaterail/gateway/membership.py
@@ -186,7 +186,7 @@
             )
 
     def _refresh_readers(self, now: float) -> None:
-        """Look up the readers, if this daemon is a reader or its list is empty or stale."""
+        """Look up the readers, unless this daemon can rely on the lists of its peers."""
         hub = self.daemon.feeds
         generation, at = self.last_lookup
         # Former readers look them up too. Otherwise two of them that knew only of each
--- a/agaterail/gateway/peerpoller.py
+++ b/agaterail/gateway/peerpoller.py
@@ -105,9 +105,9 @@
         problem = ""
         for feed in Feed:
             news = answer.feeds.get(feed)
-            matters = feed in REQUIRED_FEEDS
+            required = feed in REQUIRED_FEEDS
             if news is None:
-                if matters:
+                if required:
                     problem = f"no {feed.value} from offset {self.hub.offsets[feed]}"
                 continue
             # Lower bound of the time of the answer: the peer kept the query for at least
@@ -120,9 +120,9 @@
                 heard_at=answered_at - news.heard_s,
             )
             problem = self._apply_news(feed, news, answered_at, arrival) or problem
-            if matters and news.heard_s > max_silence_s(feed):
+            if required and news.heard_s > max_silence_s(feed):
                 problem = f"peer last heard of {feed.value} {news.heard_s:.2f} s ago"
-            elif matters and news.age_s > self.daemon.freshness.denial_bound_s:
+            elif required and news.age_s > self.daemon.freshness.denial_bound_s:
                 problem = f"peer's reading of {feed.value} is {news.age_s:.2f} s old"
         return problem
 
--- a/agaterail/gateway/peerprotocol.py
+++ b/agaterail/gateway/peerprotocol.py
@@ -17,7 +17,8 @@
 # The version in the path changes with the format of the answers. Daemons of another
 # release then answer 404, which counts as a failed poll.
 PATH = b"/feeds/2"
-# Cap for records whose first sighting is unknown, such as those found at a start.
+# Upper bound of ``known_s``: a record that has been known for longer existed before any
+# daemon started.
 MAX_KNOWN_S = 3600.0
 
 
@@ -115,16 +116,16 @@
     """Return the body of the answer to a query."""
     feeds: dict[Feed, FeedNews] = {}
     for feed, offset in query.offsets.items():
-        kept = relay.feeds[feed]
-        records = kept.pack_since(offset, query.base_offsets)
-        if records is None or kept.failing:
+        relayed_feed = relay.feeds[feed]
+        records = relayed_feed.pack_since(offset, query.base_offsets)
+        if records is None or relayed_feed.failing:
             continue
-        known_s = min(MAX_KNOWN_S, now - kept.known_at)
+        known_s = min(MAX_KNOWN_S, now - relayed_feed.known_at)
         feeds[feed] = FeedNews(
-            age_s=now - kept.read_at,
+            age_s=now - relayed_feed.read_at,
             known_s=known_s,
-            heard_s=now - kept.heard_at,
-            next_offset=kept.next_offset,
+            heard_s=now - relayed_feed.heard_at,
+            next_offset=relayed_feed.next_offset,
             records=tuple(records),
         )
     return msgspec.msgpack.encode(PeerAnswer(feeds, readers, waited_s))
--- a/agaterail/gateway/peerresponder.py
+++ b/agaterail/gateway/peerresponder.py
@@ -24,7 +24,7 @@
 logger = logs.get_logger("feeds")
 
 OK, BAD_REQUEST, NOT_FOUND = 200, 400, 404
-# Answers from this size on take more than a few packets and queue behind others.
+# Answers from this size on take more than a few packets, so their heads are sent first.
 LARGE_ANSWER_BYTES = 4096
 
 
@@ -67,7 +67,7 @@
         self.now = now
         self.stats = AnswerStats()
         self.handlers: dict[bytes, Callable[[bytes], bytes]] = {
-            peerprotocol.PATH: self._answer_news
+            peerprotocol.PATH: self._answer_poll
         }
         self.server = Front(address, self.handle, CallerLimits, now)
 
@@ -88,14 +88,14 @@
         )
         send(OK, [], body)
 
-    def _answer_news(self, query: bytes) -> bytes:
-        question = peerprotocol.decode_query(query)
+    def _answer_poll(self, query: bytes) -> bytes:
+        peer_query = peerprotocol.decode_query(query)
         received_at = self.now()
-        if not self.hub.relay.has_new_records(question.offsets) and not self._is_stale():
-            self.hub.new_records.wait(min(question.wait_s, PEER_WAIT_S))
+        if not self.hub.relay.has_new_records(peer_query.offsets) and not self._is_stale():
+            self.hub.new_records.wait(min(peer_query.wait_s, PEER_WAIT_S))
         now = self.now()
         body = peerprotocol.encode_answer(
-            self.hub.relay, question, self.hub.readers, now, now - received_at
+            self.hub.relay, peer_query, self.hub.readers, now, now - received_at
         )
         self.stats.add(len(body), self.now() - now)
         return body
@@ -116,7 +116,7 @@
         """Return whether the store has been silent for too long to wait for new records."""
         now = self.now()
         return any(
-            now - kept.heard_at > max_silence_s(feed)
-            for feed, kept in self.hub.relay.feeds.items()
+            now - relayed_feed.heard_at > max_silence_s(feed)
+            for feed, relayed_feed in self.hub.relay.feeds.items()
             if feed in REQUIRED_FEEDS
         )
--- a/agaterail/gateway/startuptimer.py
+++ b/agaterail/gateway/startuptimer.py
@@ -29,15 +29,15 @@
     ----------
     started_at
         Time at which the process started.
-    processor_at
+    initial_cpu_s
         CPU time of the process at that moment, in seconds.
     """
 
     def __init__(
-        self, started_at: float, processor_at: float, now: Callable[[], float]
+        self, started_at: float, initial_cpu_s: float, now: Callable[[], float]
     ) -> None:
         self.started_at = started_at
-        self.processor_at = processor_at
+        self.initial_cpu_s = initial_cpu_s
         self.now = now
 
     def log_stage(self, message: str, **fields: object) -> None:
@@ -46,7 +46,7 @@
             message,
             **fields,
             start_s=round(self.now() - self.started_at, 3),
-            processor_s=round(time.process_time() - self.processor_at, 3),
+            processor_s=round(time.process_time() - self.initial_cpu_s, 3),
         )
 
     def await_ready(self, daemon: Daemon) -> None:
--- a/agaterail/gateway/state.py
+++ b/agaterail/gateway/state.py
@@ -119,12 +119,12 @@
         # Tombstones are renewed too: an older listing that was overtaken by this one may
         # still contain a target that has been removed twice.
         known = dict.fromkeys([*self.target_offsets, *self.book.targets])
-        vanished = [
+        removed = [
             TargetChanged(next_offset - 1, instance, None)
             for instance in known
             if instance not in listed
         ]
-        self.apply([*changes, *vanished], now)
+        self.apply([*changes, *removed], now)
 
     def _apply_desired(
         self, change: DesiredPublished, now: float, arrival: Arrival | None
@@ -249,6 +249,6 @@
             )
 
     def _trim_tombstones(self) -> None:
-        vanished = [name for name in self.target_offsets if name not in self.book.targets]
-        for name in vanished[:-MAX_TOMBSTONES]:
+        removed = [name for name in self.target_offsets if name not in self.book.targets]
+        for name in removed[:-MAX_TOMBSTONES]:
             del self.target_offsets[name]
--- a/tests/large_state.py
+++ b/tests/large_state.py
@@ -31,9 +31,9 @@
     return json.dumps(desired, separators=(",", ":")).encode()
 
 
-def with_row_changed(rows, place):
+def with_row_changed(rows, index):
     """Return the rows with a changed timeout in one of them."""
     return [
-        {**row, "timeout_ms": row["timeout_ms"] + 1} if number == place else row
+        {**row, "timeout_ms": row["timeout_ms"] + 1} if number == index else row
         for number, row in enumerate(rows)
     ]
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -254,8 +254,8 @@
         sizes = []
         for daemon in self.fleet.daemons:
             responder = daemon.feeds.peer_responder
-            responder._answer_news = record_sizes(responder._answer_news, sizes)
-            responder.handlers[peerprotocol.PATH] = responder._answer_news
+            responder._answer_poll = record_sizes(responder._answer_poll, sizes)
+            responder.handlers[peerprotocol.PATH] = responder._answer_poll
         gevent.sleep(0.7)  # until the waiting polls return
         self.publish(5, rows)
         self.wait_for(5)
--- a/tests/test_agaterail/test_gateway/test_peerselector.py
+++ b/tests/test_agaterail/test_gateway/test_peerselector.py
@@ -77,17 +77,17 @@
 
     def test_one_lagging_reader_triggers_no_direct_reads(self):
         selector = PeerSelector()
-        asked_bad = direct = 0
+        polls_of_lagging_reader = direct = 0
         for step in range(20):
             now = 0.6 * step
             address = selector.pick(selector.available(READERS, "x:1", now))
             if address == "a:1":
-                asked_bad += 1
+                polls_of_lagging_reader += 1
                 direct += selector.record_failure(address, others=2, now=now)
             else:
                 selector.record_success(address)
         self.assertEqual(direct, 0)
-        self.assertLessEqual(asked_bad, 3)
+        self.assertLessEqual(polls_of_lagging_reader, 3)
 
     def test_backoff_is_capped(self):
         selector = PeerSelector()
--- a/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
+++ b/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
@@ -34,11 +34,11 @@
     def test_row_changes_are_sent_as_small_differences(self):
         rows = make_rows(2800)
         relay = Relay()
-        kept = relay.feeds[Feed.OPERATORS]
-        kept.add_reading(Reading([], 4, 0.0, listed=True))
+        relayed_feed = relay.feeds[Feed.OPERATORS]
+        relayed_feed.add_reading(Reading([], 4, 0.0, listed=True))
         for offset in range(4, 8):
             state = make_document(offset, with_row_changed(rows, 100 * offset))
-            kept.add_reading(
+            relayed_feed.add_reading(
                 Reading(
                     [DocumentRecord(offset, "config", state)], offset + 1, 1.0, listed=False
                 )
