--- a/agaterail/gateway/admission.py
+++ b/agaterail/gateway/admission.py
@@ -12,14 +12,14 @@
     from agaterail.gateway.targets import Target
 
 # Callers heed a hint of up to a third of the time that they have left.
-RETRY_PART = 0.3
-LONGEST_RETRY_S = 1.0
+RETRY_FRACTION = 0.3
+MAX_RETRY_AFTER_S = 1.0
 # A shortage of engines lasts for seconds, whatever part of the prompts is refused: a
 # caller that comes back sooner meets it again.
-LONGEST_OVERLOAD_RETRY_S = 5.0
+MAX_OVERLOAD_RETRY_AFTER_S = 5.0
 # Hints are spread over half of their length, so that callers who were refused
 # together do not return together.
-RETRY_SPREAD = 0.5
+RETRY_JITTER = 0.5
 
 
 def expected_wait_s(target: Target, engines: Sequence[Target], daemons: float) -> float:
@@ -30,13 +30,13 @@
     own happen to lie at one engine says nothing of theirs; multiplied by the
     number of daemons, a single long prompt would look like a queue of seconds.
     """
-    serving = [item for item in engines if item.entry.ready] or [target]
+    serving = [item for item in engines if item.registration.ready] or [target]
     mean = sum(item.prefill_tokens for item in serving) / len(serving)
     tokens = target.prefill_tokens + mean * max(0.0, daemons - 1.0)
     return tokens * PREFILL_MS_PER_TOKEN * 1e-3
 
 
-def is_hopeless(wait_s: float, left_s: float) -> bool:
+def would_miss_deadline(wait_s: float, left_s: float) -> bool:
     """Tell whether the first token would come after the caller has left.
 
     Such a request is refused at once: its caller is told when to come back
@@ -59,6 +59,6 @@
     overloaded
         It was refused because the engines have more prompts than they can read.
     """
-    longest = LONGEST_OVERLOAD_RETRY_S if overloaded else LONGEST_RETRY_S
-    hint = min(longest, max(0.0, left_s) * RETRY_PART)
-    return hint * (1.0 - RETRY_SPREAD * number)
+    longest = MAX_OVERLOAD_RETRY_AFTER_S if overloaded else MAX_RETRY_AFTER_S
+    hint = min(longest, max(0.0, left_s) * RETRY_FRACTION)
+    return hint * (1.0 - RETRY_JITTER * number)
--- a/agaterail/gateway/attempt.py
+++ b/agaterail/gateway/attempt.py
@@ -13,7 +13,7 @@
     from agaterail.gateway.inbound import AnswerHead
     from agaterail.gateway.job import Job
     from agaterail.gateway.placement import Choice
-    from agaterail.gateway.shedding import Waiting
+    from agaterail.gateway.shedding import PendingPrompt
 
 OK_STATUSES = range(200, 300)
 # Reading what has arrived already.
@@ -49,7 +49,7 @@
         self.has_events = False
         self.event_at = 0.0
         self.is_open = True
-        self.waiting: Waiting | None = None
+        self.waiting: PendingPrompt | None = None
         self.target.in_flight += 1
         self._begin_prefill()
 
--- a/agaterail/gateway/cacheterms.py
+++ b/agaterail/gateway/cachedirectives.py
@@ -7,7 +7,7 @@
 import attrs
 
 from agaterail.gateway.inbound import part_key
-from agaterail.gateway.keptparts import SaveQuestion
+from agaterail.gateway.kvstoreindex import SaveQuery
 from agaterail.gateway.placement import choose_by_hash
 
 if TYPE_CHECKING:
@@ -17,11 +17,11 @@
     from agaterail.gateway.job import Job
     from agaterail.gateway.placement import Choice
 
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 
 
 @attrs.frozen(kw_only=True)
-class CacheTerms:
+class CacheDirectives:
     """Terms of one attempt.
 
     Attributes
@@ -44,30 +44,30 @@
     save_to: str = ""
 
 
-def cache_terms(
+def cache_directives(
     job: Job,
     choice: Choice,
     stores: Sequence[KvStoreSpec],
-    should_save: Callable[[SaveQuestion], bool],
-) -> CacheTerms:
+    should_save: Callable[[SaveQuery], bool],
+) -> CacheDirectives:
     """Return what the chosen engine is told of cached parts.
 
     A prompt's deepest shared part names the store that keeps it, so that all daemons
     look in the same one.
     """
     if not job.route.prompted:
-        return CacheTerms()
+        return CacheDirectives()
     version = choice.weights_version
-    terms = CacheTerms(
+    directives = CacheDirectives(
         cache_scope=_scope(job, version), weights_version=version, priority=_priority(job)
     )
     shared = [part_key(part.name) for part in job.inbound.shared_parts]
     if not stores or not shared or version is None:
-        return terms
+        return directives
     store = choose_by_hash(shared[-1], [spec.address for spec in stores])
-    question = SaveQuestion(store=store, scope=terms.cache_scope, parts=shared)
+    save_query = SaveQuery(store=store, scope=directives.cache_scope, parts=shared)
     return attrs.evolve(
-        terms, fetch_from=store, save_to=store if should_save(question) else ""
+        directives, fetch_from=store, save_to=store if should_save(save_query) else ""
     )
 
 
@@ -81,4 +81,4 @@
 def _priority(job: Job) -> int:
     own = job.route.priority if job.workspace is None else job.workspace.priority
     priority = job.route.priority if own is None else own
-    return max(0, min(LEAST_URGENT, priority))
+    return max(0, min(LOWEST_PRIORITY, priority))
--- a/agaterail/gateway/controlstore.py
+++ b/agaterail/gateway/controlstore.py
@@ -15,8 +15,8 @@
 
     from agaterail.gateway.desired import DesiredState
     from agaterail.gateway.documents import Document
-    from agaterail.gateway.namedweights import NamingRecord
     from agaterail.gateway.targets import Registration
+    from agaterail.gateway.versionhistory import VersionAgeRecord
 
 
 class Feed(enum.Enum):
@@ -87,7 +87,7 @@
     boot: str
     released_idle_s: float | None = None
     load_s: float | None = None
-    naming: NamingRecord | None = None
+    naming: VersionAgeRecord | None = None
 
 
 @attrs.frozen
--- a/agaterail/gateway/daemon.py
+++ b/agaterail/gateway/daemon.py
@@ -12,7 +12,7 @@
 from gevent.pool import Group
 
 from agaterail import logs
-from agaterail.gateway import admission, cacheterms, keptcontroller, placement
+from agaterail.gateway import admission, cachedirectives, kvsavecontroller, placement
 from agaterail.gateway.channels import ChannelPool
 from agaterail.gateway.demand import Demand
 from agaterail.gateway.desired import CallerLimits
@@ -20,15 +20,15 @@
 from agaterail.gateway.freshness import Freshness
 from agaterail.gateway.front import Front
 from agaterail.gateway.handler import RequestHandler
-from agaterail.gateway.keptcontroller import KeptController
+from agaterail.gateway.kvsavecontroller import KvSaveController
 from agaterail.gateway.membership import MembershipController
 from agaterail.gateway.metrics import GatewayMetrics
 from agaterail.gateway.placement import PlacementRules
-from agaterail.gateway.readiness import make_readiness
+from agaterail.gateway.readiness import make_readiness_server
 from agaterail.gateway.retrybudget import RetryBudget
-from agaterail.gateway.shedding import Shedder
+from agaterail.gateway.shedding import LoadShedder
 from agaterail.gateway.state import GatewayState
-from agaterail.gateway.targets import TargetBook
+from agaterail.gateway.targets import TargetRegistry
 from agaterail.gateway.weightscontroller import WeightsController
 from agaterail.platform import names, requests
 from agaterail.timers import GeventTimerService
@@ -36,13 +36,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from agaterail.gateway.cacheterms import CacheTerms
+    from agaterail.gateway.cachedirectives import CacheDirectives
     from agaterail.gateway.controlstore import ControlStore
     from agaterail.gateway.desired import KvStoreSpec
     from agaterail.gateway.enginecontrol import EngineControl
     from agaterail.gateway.hostsettings import HostSettings
     from agaterail.gateway.job import Job
-    from agaterail.gateway.keptparts import CacheFeed
+    from agaterail.gateway.kvstoreindex import CacheFeed
     from agaterail.gateway.placement import Choice
     from agaterail.timers import Subscription
 
@@ -80,13 +80,13 @@
         self.freshness = Freshness(
             bound_s=bounds.revoke_s or float("inf"), denial_bound_s=bounds.config_s
         )
-        self.book = TargetBook(LAPSE_GRACE_S)
+        self.book = TargetRegistry(LAPSE_GRACE_S)
         self.state = GatewayState(
             self.freshness, self.book, bounds.version_s, bounds.clock_skew_s
         )
         self.budget = RetryBudget(bounds.retries)
         self.demand = Demand()
-        self.shedders: dict[str, Shedder] = {}
+        self.shedders: dict[str, LoadShedder] = {}
         self.channels = ChannelPool(requests.decode_answer_head, self.now)
         self.book.on_gone = self.channels.drop
         self.rules = PlacementRules(domain=settings.domain, version_s=bounds.version_s)
@@ -97,14 +97,14 @@
         self.membership = MembershipController(self)
         self.weights = WeightsController(self)
         self.feeds = FeedHub(self)
-        self.kept = KeptController(
+        self.kept = KvSaveController(
             cache_feed,
             str(self.feeds.peer_responder.server.address),
             lambda: self.feeds.readers,
             self.now,
         )
-        self.feeds.peer_responder.handlers[keptcontroller.PATH] = self.kept.answer
-        self.readiness = make_readiness(
+        self.feeds.peer_responder.handlers[kvsavecontroller.PATH] = self.kept.answer
+        self.readiness = make_readiness_server(
             settings.ready_listen, names.READY_PATH, lambda: self.ready, self.now
         )
         self.timers = GeventTimerService()
@@ -153,7 +153,7 @@
         self.state.log_staleness(self.now())
         self.channels.close_stale()
         stores = [spec.address for spec in self._kv_stores()]
-        self.kept.use_stores(stores, self.greenlets.spawn)
+        self.kept.set_stores(stores, self.greenlets.spawn)
 
     def set_fleet_size(self, daemons: float) -> None:
         """Set the number of daemons that share the targets."""
@@ -164,7 +164,7 @@
         targets = self.book.of_service(job.service)
         tried = job.attempts.tried
         if not job.route.prompted:
-            return placement.choose_plain(targets, tried, self.rules, now)
+            return placement.choose_least_loaded(targets, tried, self.rules, now)
         named = self.state.weights.get(job.inbound.model)
         return placement.choose_engine(job.inbound, targets, tried, self.rules, named, now)
 
@@ -175,15 +175,17 @@
         engines = self.book.of_service(job.service)
         return admission.expected_wait_s(choice.target, engines, self.rules.daemons)
 
-    def shedder_of(self, service: str) -> Shedder:
+    def shedder_of(self, service: str) -> LoadShedder:
         """Return the load shedder of a service, which may refuse prompts."""
         if service not in self.shedders:
-            self.shedders[service] = Shedder(service, self.now())
+            self.shedders[service] = LoadShedder(service, self.now())
         return self.shedders[service]
 
-    def cache_terms(self, job: Job, choice: Choice) -> CacheTerms:
+    def cache_terms(self, job: Job, choice: Choice) -> CacheDirectives:
         """Return the cache instructions for the engine; may query a peer."""
-        return cacheterms.cache_terms(job, choice, self._kv_stores(), self.kept.should_save)
+        return cachedirectives.cache_directives(
+            job, choice, self._kv_stores(), self.kept.should_save
+        )
 
     def _kv_stores(self) -> tuple[KvStoreSpec, ...]:
         desired = self.state.desired
--- a/agaterail/gateway/demand.py
+++ b/agaterail/gateway/demand.py
@@ -25,7 +25,7 @@
             self.tokens += tokens
         self._expire(now)
 
-    def engines(self, now: float) -> float:
+    def engines_needed(self, now: float) -> float:
         """Return the engines that would be busy if nothing were cached."""
         self._expire(now)
         return self.tokens * PREFILL_MS_PER_TOKEN / (WINDOW_S * 1e3)
--- a/agaterail/gateway/enginecontrol.py
+++ b/agaterail/gateway/enginecontrol.py
@@ -33,11 +33,11 @@
     weights: dict[str, int]
 
 
-class OpenRuns(enum.Enum):
+class InFlightPolicy(enum.Enum):
     """What becomes of the runs on an engine that changes its weights."""
 
     FINISH_FIRST = "finish_first"
-    GO_ON = "go_on"
+    CONTINUE = "go_on"
 
 
 @attrs.frozen(kw_only=True)
@@ -55,14 +55,14 @@
     host: str
     fencing: int
     after_orders: int
-    open_runs: OpenRuns = OpenRuns.FINISH_FIRST
+    in_flight_policy: InFlightPolicy = InFlightPolicy.FINISH_FIRST
 
 
 class OrderOutcome(enum.Enum):
     """How an engine answered an order."""
 
     ACCEPTED = "accepted"
-    HOLDS = "holds"
+    ALREADY_LOADED = "holds"
     BUSY = "busy"  # another order is in progress or was accepted meanwhile
     FENCED = "fenced"  # a higher fencing number was used
     UNKNOWN_VERSION = "unknown_version"
--- a/agaterail/gateway/freshness.py
+++ b/agaterail/gateway/freshness.py
@@ -7,7 +7,7 @@
 # Part of the revocation bound that is given away: rounding of clocks and the
 # time between the check and the first byte to the target. 4% of 5 s is 200 ms,
 # ten times the longest pause of the event loop seen under load.
-SAFETY_SHARE = 0.04
+SAFETY_MARGIN = 0.04
 
 
 @attrs.define
@@ -49,7 +49,7 @@
 
     def allows_keys(self, now: float) -> bool:
         """Tell whether a known key may be accepted."""
-        return self.age_s(now) < self.bound_s * (1.0 - SAFETY_SHARE)
+        return self.age_s(now) < self.bound_s * (1.0 - SAFETY_MARGIN)
 
     def allows_denial(self, now: float) -> bool:
         """Tell whether an unknown key or route may be called unknown for good."""
--- a/agaterail/gateway/hostsettings.py
+++ b/agaterail/gateway/hostsettings.py
@@ -7,7 +7,7 @@
 import attrs
 
 if TYPE_CHECKING:
-    from agaterail.gateway.retrybudget import BudgetTerms
+    from agaterail.gateway.retrybudget import RetryBudgetLimits
     from agaterail.util.address import Address
 
 
@@ -43,7 +43,7 @@
     lease_s: float
     version_s: float
     fenced: bool
-    retries: BudgetTerms
+    retries: RetryBudgetLimits
     clock_skew_s: float = 5.0
 
 
--- a/agaterail/gateway/keptcontroller.py
+++ b/agaterail/gateway/kvsavecontroller.py
@@ -11,7 +11,7 @@
 from returns.result import Success
 
 from agaterail import logs
-from agaterail.gateway.keptparts import KeptParts, SaveQuestion
+from agaterail.gateway.kvstoreindex import KvStoreIndex, SaveQuery
 from agaterail.gateway.placement import choose_by_hash
 from agaterail.util.greenlets import repeat
 from agaterail.util.httpconn import ConnectionsByAddress
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
 
-    from agaterail.gateway.keptparts import CacheFeed
+    from agaterail.gateway.kvstoreindex import CacheFeed
 
 logger = logs.get_logger("kept")
 
@@ -28,20 +28,20 @@
 # reads bounds them at four a second and store. A save takes longer than that.
 READ_WAIT_S = 0.8
 READ_PAUSE_S = 0.25
-FAILED_PAUSE_S = 1.0
+RETRY_PAUSE_S = 1.0
 IDLE_PAUSE_S = 0.5
 # Daemons are a millisecond or two apart; a prompt must not wait for one that hangs.
 # Without an answer the prompt is saved, which costs memory of the store only.
 ASK_TIMEOUT_S = 0.05
-LEFT_ALONE_S = 1.0
+PEER_BACKOFF_S = 1.0
 # That a prompt need not be saved is not asked again for so long: an eviction is
 # noticed that much later, by one daemon.
-KNOWN_S = 3.0
-MOST_KNOWN = 4096
+SKIP_TTL_S = 3.0
+MAX_SKIP_ENTRIES = 4096
 OK = 200
 
 
-class KeptController:
+class KvSaveController:
     """Decides for each prompt whether its engine is to save it.
 
     The daemons that read the platform's store for the others follow the kept
@@ -73,25 +73,25 @@
         self.own_address = own_address
         self.readers = readers
         self.now = now
-        self.stores: dict[str, KeptParts] = {}
+        self.indexes: dict[str, KvStoreIndex] = {}
         self.next_numbers: dict[str, int] = {}
-        self.known: dict[tuple[str, str, str], float] = {}
-        self.left_alone_until: dict[str, float] = {}
+        self.skip_until: dict[tuple[str, str, str], float] = {}
+        self.backoff_until: dict[str, float] = {}
         self.peers = ConnectionsByAddress(ASK_TIMEOUT_S)
         self.followers: dict[str, gevent.Greenlet] = {}
 
-    def should_save(self, question: SaveQuestion) -> bool:
+    def should_save(self, save_query: SaveQuery) -> bool:
         """Tell whether an engine is to save a prompt; asks a peer if need be."""
         now = self.now()
-        key = (question.store, question.scope, question.deepest)
-        if now < self.known.get(key, 0.0):
+        key = (save_query.store, save_query.scope, save_query.deepest)
+        if now < self.skip_until.get(key, 0.0):
             return False
-        saves = self._decide(question, now)
-        if not saves:
-            if len(self.known) >= MOST_KNOWN:
-                self.known.clear()
-            self.known[key] = now + KNOWN_S
-        return saves
+        save = self._decide(save_query, now)
+        if not save:
+            if len(self.skip_until) >= MAX_SKIP_ENTRIES:
+                self.skip_until.clear()
+            self.skip_until[key] = now + SKIP_TTL_S
+        return save
 
     def answer(self, query: bytes) -> bytes:
         """Answer a peer's question.
@@ -101,7 +101,7 @@
         ValueError
             If it is none.
         """
-        return json.dumps(self._claim(decode_question(query))).encode()
+        return json.dumps(self._claim(decode_query(query))).encode()
 
     def follow(self, address: str) -> None:
         """Make one read of a store's events, if it is on this daemon; then pause."""
@@ -112,29 +112,29 @@
         found = self.feed.follow(address, since, READ_WAIT_S)
         if not isinstance(found, Success):
             logger.info("Kept store not read.", store=address, reason=found.failure())
-            gevent.sleep(FAILED_PAUSE_S)
+            gevent.sleep(RETRY_PAUSE_S)
             return
-        news = found.unwrap()
-        parts = self._parts(address)
-        if news.epoch != parts.epoch:
-            logger.info("Kept store followed.", store=address, epoch=news.epoch)
+        batch = found.unwrap()
+        index = self._index(address)
+        if batch.epoch != index.epoch:
+            logger.info("Kept store followed.", store=address, epoch=batch.epoch)
             # A store that began anew counts its events from the start again; what it
             # answered to a number of before is read once more.
-            parts.begin(news.epoch)
+            index.reset(batch.epoch)
             self.next_numbers[address] = 0
             if since:
                 return
-        self.next_numbers[address] = news.next_number
-        parts.take_in(news.changes, self.now())
+        self.next_numbers[address] = batch.next_number
+        index.apply(batch.changes, self.now())
         gevent.sleep(READ_PAUSE_S)
 
-    def use_stores(
+    def set_stores(
         self, addresses: Collection[str], spawn: Callable[..., gevent.Greenlet]
     ) -> None:
         """Follow these stores from now on, and drop what is known of all others."""
         for address in self.followers.keys() - set(addresses):
             self.followers.pop(address).kill(block=False)
-            self.stores.pop(address, None)
+            self.indexes.pop(address, None)
             self.next_numbers.pop(address, None)
         for address in set(addresses) - self.followers.keys():
             self.followers[address] = spawn(
@@ -146,30 +146,32 @@
                 store=address,
             )
 
-    def _parts(self, address: str) -> KeptParts:
-        return self.stores.setdefault(address, KeptParts())
+    def _index(self, address: str) -> KvStoreIndex:
+        return self.indexes.setdefault(address, KvStoreIndex())
 
-    def _decide(self, question: SaveQuestion, now: float) -> bool:
+    def _decide(self, save_query: SaveQuery, now: float) -> bool:
         readers = self.readers()
         if not readers:
             return True
-        decider = choose_by_hash(question.deepest, readers)
+        decider = choose_by_hash(save_query.deepest, readers)
         if decider == self.own_address:
-            return self._claim(question)
-        if now < self.left_alone_until.get(decider, 0.0):
+            return self._claim(save_query)
+        if now < self.backoff_until.get(decider, 0.0):
             return True
-        answer = self._ask(decider, question)
+        answer = self._ask(decider, save_query)
         if answer is None:
-            self.left_alone_until[decider] = self.now() + LEFT_ALONE_S
+            self.backoff_until[decider] = self.now() + PEER_BACKOFF_S
             return True
         return answer
 
-    def _claim(self, question: SaveQuestion) -> bool:
-        return self._parts(question.store).claim(question.scope, question.parts, self.now())
+    def _claim(self, save_query: SaveQuery) -> bool:
+        return self._index(save_query.store).claim_save(
+            save_query.scope, save_query.parts, self.now()
+        )
 
-    def _ask(self, decider: str, question: SaveQuestion) -> bool | None:
+    def _ask(self, decider: str, save_query: SaveQuery) -> bool | None:
         called = self.peers.to(decider).call(
-            "GET", encode_question(question), timeout_s=ASK_TIMEOUT_S
+            "GET", encode_query(save_query), timeout_s=ASK_TIMEOUT_S
         )
         if not isinstance(called, Success):
             reason = called.failure().reason
@@ -179,16 +181,16 @@
         return body != b"false" if status == OK else None
 
 
-def encode_question(question: SaveQuestion) -> str:
+def encode_query(save_query: SaveQuery) -> str:
     """Return the path and query of a question."""
-    parts = ",".join(question.parts)
+    parts = ",".join(save_query.parts)
     return (
-        f"{PATH.decode()}?store={quote(question.store)}"
-        f"&scope={quote(question.scope)}&parts={parts}"
+        f"{PATH.decode()}?store={quote(save_query.store)}"
+        f"&scope={quote(save_query.scope)}&parts={parts}"
     )
 
 
-def decode_question(query: bytes) -> SaveQuestion:
+def decode_query(query: bytes) -> SaveQuery:
     """Return the question in a query.
 
     Raises
@@ -199,9 +201,9 @@
     found = parse_qs(query.decode("ascii"), strict_parsing=True, keep_blank_values=True)
     try:
         parts = tuple(part for part in found["parts"][0].split(",") if part)
-        question = SaveQuestion(store=found["store"][0], scope=found["scope"][0], parts=parts)
+        save_query = SaveQuery(store=found["store"][0], scope=found["scope"][0], parts=parts)
     except KeyError as error:
         raise ValueError(f"{error} is missing") from error
     if not parts:
         raise ValueError("no part is named")
-    return question
+    return save_query
--- a/agaterail/gateway/keptparts.py
+++ b/agaterail/gateway/kvstoreindex.py
@@ -16,13 +16,13 @@
 # A part that somebody was told to save is in the store after the prompt has waited,
 # was read and sent: some tenths of a second, seconds on a heavy day. Until then
 # nobody else saves it; a save that failed is made up for after this time.
-PENDING_S = 2.0
+SAVE_TIMEOUT_S = 2.0
 # A few events in a hundred are lost. A part whose eviction was missed is saved again
 # after this time, about as long as a full store takes to drop what nobody uses.
-BELIEF_S = 20.0
+ENTRY_TTL_S = 20.0
 # 325 bytes an entry (tracemalloc, 20,000 entries), so 21 MB a store at most; the oldest
 # are dropped and saved again.
-MOST_PARTS = 65536
+MAX_ENTRIES = 65536
 
 
 @attrs.frozen
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class CacheNews:
+class CacheChangeBatch:
     """Changes of a store's contents since an earlier question.
 
     Attributes
@@ -63,7 +63,7 @@
     """Where news of a store's contents come from."""
 
     @abc.abstractmethod
-    def follow(self, address: str, since: int, wait_s: float) -> Result[CacheNews, str]:
+    def follow(self, address: str, since: int, wait_s: float) -> Result[CacheChangeBatch, str]:
         """Return the changes from a number on, waiting for the first one."""
 
 
@@ -71,11 +71,11 @@
 class _Entry:
     """What is believed of one part; nothing any more after ``until``."""
 
-    until: float
+    expires_at: float
     confirmed: bool = False
 
 
-class KeptParts:
+class KvStoreIndex:
     """Contents of one store as its events tell, and the saves that are under way.
 
     Failure: an engine that saves sends the whole prompt, also the part that no
@@ -89,45 +89,45 @@
         self.entries: OrderedDict[tuple[str, str], _Entry] = OrderedDict()
         self.epoch: int | None = None
 
-    def begin(self, epoch: int) -> None:
+    def reset(self, epoch: int) -> None:
         """Forget what a store held before its latest start."""
         self.entries.clear()
         self.epoch = epoch
 
-    def take_in(self, changes: Iterable[CacheChange], now: float) -> None:
+    def apply(self, changes: Iterable[CacheChange], now: float) -> None:
         """Take in what changed."""
         for change in changes:
             key = (change.scope, change.part)
             if change.held:
-                self._put(key, _Entry(now + BELIEF_S, confirmed=True))
+                self._put(key, _Entry(now + ENTRY_TTL_S, confirmed=True))
             else:
                 self.entries.pop(key, None)
 
-    def claim(self, scope: str, parts: Iterable[str], now: float) -> bool:
+    def claim_save(self, scope: str, parts: Iterable[str], now: float) -> bool:
         """Tell whether a request should save its prompt; if so, no other one will."""
-        missing = [(scope, part) for part in parts if self._lacks((scope, part), now)]
+        missing = [(scope, part) for part in parts if self._is_missing((scope, part), now)]
         for key in missing:
             known = self.entries.get(key)
             # What was there once and is not known to be gone was saved again now, of
             # which the store sends no event if it still had it.
             confirmed = known is not None and known.confirmed
-            until = now + (BELIEF_S if confirmed else PENDING_S)
-            self._put(key, _Entry(until, confirmed))
+            expires_at = now + (ENTRY_TTL_S if confirmed else SAVE_TIMEOUT_S)
+            self._put(key, _Entry(expires_at, confirmed))
         return bool(missing)
 
-    def _lacks(self, key: tuple[str, str], now: float) -> bool:
+    def _is_missing(self, key: tuple[str, str], now: float) -> bool:
         entry = self.entries.get(key)
-        return entry is None or now >= entry.until
+        return entry is None or now >= entry.expires_at
 
     def _put(self, key: tuple[str, str], entry: _Entry) -> None:
         self.entries.pop(key, None)
         self.entries[key] = entry
-        while len(self.entries) > MOST_PARTS:
+        while len(self.entries) > MAX_ENTRIES:
             self.entries.popitem(last=False)
 
 
 @attrs.frozen(kw_only=True)
-class SaveQuestion:
+class SaveQuery:
     """Asks whether a prompt's shared parts should be saved to a store.
 
     Attributes
--- a/agaterail/gateway/loadtime.py
+++ b/agaterail/gateway/loadtime.py
@@ -7,14 +7,14 @@
 
 # Until a load was seen it is taken for this part of the time that operators allow
 # for new weights to be everywhere: they allow for several loads one after the other.
-ASSUMED_PART = 0.125
+ASSUMED_FRACTION = 0.125
 # A load is seen to be done with the next report, registration or answer, so a
 # single observation may be late by a heartbeat, and an order that was carried out
 # late by seconds. The median of five bears two of these.
-KEPT_LOADS = 5
+MAX_SAMPLES = 5
 # Shorter and longer ones are faults of the observation.
-SHORTEST_LOAD_S = 0.05
-LONGEST_LOAD_S = 15.0
+MIN_LOAD_S = 0.05
+MAX_LOAD_S = 15.0
 
 
 class LoadTime:
@@ -34,13 +34,13 @@
     """
 
     def __init__(self, allowed_s: float) -> None:
-        self.assumed_s = allowed_s * ASSUMED_PART
-        self.seen: deque[float] = deque(maxlen=KEPT_LOADS)
+        self.assumed_s = allowed_s * ASSUMED_FRACTION
+        self.samples: deque[float] = deque(maxlen=MAX_SAMPLES)
 
     @property
     def known_s(self) -> float | None:
         """Return the load time in seconds; None if no load was seen."""
-        return statistics.median(self.seen) if self.seen else None
+        return statistics.median(self.samples) if self.samples else None
 
     @property
     def load_s(self) -> float:
@@ -50,11 +50,11 @@
 
     def note(self, seconds: float) -> None:
         """Take in the time from an order to the first sight of the new weights."""
-        if SHORTEST_LOAD_S <= seconds <= LONGEST_LOAD_S:
-            self.seen.append(seconds)
+        if MIN_LOAD_S <= seconds <= MAX_LOAD_S:
+            self.samples.append(seconds)
 
     def adopt(self, seconds: float) -> None:
         """Take over what another holder of the lease has measured."""
-        if SHORTEST_LOAD_S <= seconds <= LONGEST_LOAD_S:
-            self.seen.clear()
-            self.seen.append(seconds)
+        if MIN_LOAD_S <= seconds <= MAX_LOAD_S:
+            self.samples.clear()
+            self.samples.append(seconds)
--- a/agaterail/gateway/metrics.py
+++ b/agaterail/gateway/metrics.py
@@ -99,7 +99,7 @@
             "targets_known": len(targets),
             "targets_cordoned": sum(item.cordoned_at is not None for item in targets),
             "refusal_chance": max(
-                (item.chance for item in daemon.shedders.values()), default=0.0
+                (item.refusal_probability for item in daemon.shedders.values()), default=0.0
             ),
             "fleet_share": daemon.budget.share,
             "lease_seconds": daemon.weights.lease.remaining_s(now),
--- a/agaterail/gateway/orderlease.py
+++ b/agaterail/gateway/orderlease.py
@@ -10,13 +10,13 @@
 # after the death of a holder another one orders within half of the time in
 # which new weights must be everywhere.
 TERM_S = 2.0
-RENEW_LEFT_S = 1.0
+RENEW_BEFORE_S = 1.0
 # An order must have arrived before the lease ends.
 ORDER_MARGIN_S = 0.5
 # A renewal reaches the daemons that ask a peer for news up to so much later.
-NEWS_DELAY_S = 0.6
+PROPAGATION_DELAY_S = 0.6
 # A release need not say of a longer time without orders how long it was.
-LONGEST_IDLE_S = 60.0
+MAX_IDLE_S = 60.0
 
 
 @attrs.define
@@ -55,11 +55,11 @@
     fencing: int | None = None
     held_until: float = float("-inf")
     end: int | None = None
-    rival: LeaseEntry | None = None
-    rival_end: int = -1
-    rival_free_at: float = 0.0
+    other_record: LeaseEntry | None = None
+    other_record_end: int = -1
+    acquirable_at: float = 0.0
     ordered_at: float = float("-inf")
-    sent: dict[int, float] = attrs.field(factory=dict)
+    append_sent_at: dict[int, float] = attrs.field(factory=dict)
 
     def remaining_s(self, now: float) -> float:
         """Return the seconds for which orders may still be sent."""
@@ -71,12 +71,16 @@
         """Tell whether some host may give orders now, as far as is known here."""
         if self.fencing is not None:
             return now < self.held_until
-        ends_at = self.rival_free_at - self.gap_s + NEWS_DELAY_S
-        return self.rival is not None and self.rival.released_idle_s is None and now < ends_at
+        ends_at = self.acquirable_at - self.gap_s + PROPAGATION_DELAY_S
+        return (
+            self.other_record is not None
+            and self.other_record.released_idle_s is None
+            and now < ends_at
+        )
 
     def needs_renewal(self, now: float) -> bool:
         """Tell whether a record should be appended to go on giving orders."""
-        return self.held_until - now < RENEW_LEFT_S
+        return self.held_until - now < RENEW_BEFORE_S
 
     def observe(self, newest: LeaseEntry | None, end: int, now: float) -> None:
         """Take in the newest record of the log and the offset of its end."""
@@ -86,43 +90,43 @@
         self.end = end
         if newest is None:
             # Records expire long after a term; whoever wrote them is out.
-            self.rival = None
+            self.other_record = None
             return
         if newest.released_idle_s is not None:
-            self._note_release(newest, end, now)
+            self._observe_release(newest, end, now)
             return
         if newest.host != self.host:
-            self._note_rival(newest, end, now)
+            self._observe_other(newest, end, now)
             return
-        self.rival = None
-        sent_at = self.sent.get(end - 1)
+        self.other_record = None
+        sent_at = self.append_sent_at.get(end - 1)
         if newest.boot == self.boot and sent_at is not None:
             # An append that was never answered has been done after all.
             self._hold(end - 1, sent_at)
 
-    def skip(self, end: int, now: float) -> None:
+    def skip_records(self, end: int, now: float) -> None:
         """Pass over records that expired unread or cannot be read.
 
         Somebody may have taken the lease in them. Without the new end every
         append would name an old one and fail, and no weights be ordered again.
         """
         self.end = end
-        self.rival_free_at = now + TERM_S + self.gap_s
-        self._give_way(LeaseEntry("", ""), end)
+        self.acquirable_at = now + TERM_S + self.gap_s
+        self._step_down(LeaseEntry("", ""), end)
 
     def wait_s(self, now: float) -> float:
         """Return the seconds until this host may append; 0 if it may now."""
-        if self.rival is None:
+        if self.other_record is None:
             return 0.0
-        return max(0.0, self.rival_free_at - now)
+        return max(0.0, self.acquirable_at - now)
 
-    def sending(self, at: int, now: float) -> None:
+    def begin_append(self, at: int, now: float) -> None:
         """Note the time before a record is sent."""
-        self.sent = {at: now}
+        self.append_sent_at = {at: now}
 
-    def appended(self, offset: int) -> None:
+    def complete_append(self, offset: int) -> None:
         """Take in that the record sent for an offset stands there."""
-        sent_at = self.sent.get(offset)
+        sent_at = self.append_sent_at.get(offset)
         if sent_at is not None:
             self._hold(offset, sent_at)
 
@@ -136,10 +140,10 @@
             return None
         self.fencing = None
         self.held_until = float("-inf")
-        idle_s = min(now - self.ordered_at, LONGEST_IDLE_S)
+        idle_s = min(now - self.ordered_at, MAX_IDLE_S)
         return LeaseEntry(self.host, self.boot, released_idle_s=idle_s)
 
-    def lost(self) -> None:
+    def mark_lost(self) -> None:
         """Give the lease up: another one holds a higher number."""
         self.fencing = None
         self.held_until = float("-inf")
@@ -148,24 +152,24 @@
         self.fencing = offset
         self.held_until = sent_at + TERM_S
         self.end = offset + 1
-        self.sent = {}
+        self.append_sent_at = {}
 
-    def _note_rival(self, newest: LeaseEntry, end: int, now: float) -> None:
-        if self.rival is None or self.rival_end != end:
-            self.rival_free_at = now + TERM_S + self.gap_s
-        self._give_way(newest, end)
+    def _observe_other(self, newest: LeaseEntry, end: int, now: float) -> None:
+        if self.other_record is None or self.other_record_end != end:
+            self.acquirable_at = now + TERM_S + self.gap_s
+        self._step_down(newest, end)
 
-    def _note_release(self, newest: LeaseEntry, end: int, now: float) -> None:
+    def _observe_release(self, newest: LeaseEntry, end: int, now: float) -> None:
         assert newest.released_idle_s is not None
         if newest.host == self.host:
-            self.rival = None
+            self.other_record = None
             return
-        if self.rival is None or self.rival_end != end:
-            self.rival_free_at = now + max(0.0, self.gap_s - newest.released_idle_s)
-        self._give_way(newest, end)
+        if self.other_record is None or self.other_record_end != end:
+            self.acquirable_at = now + max(0.0, self.gap_s - newest.released_idle_s)
+        self._step_down(newest, end)
 
-    def _give_way(self, newest: LeaseEntry, end: int) -> None:
-        self.rival = newest
-        self.rival_end = end
+    def _step_down(self, newest: LeaseEntry, end: int) -> None:
+        self.other_record = newest
+        self.other_record_end = end
         self.fencing = None
         self.held_until = float("-inf")
--- a/agaterail/gateway/readiness.py
+++ b/agaterail/gateway/readiness.py
@@ -19,7 +19,7 @@
 NOT_FOUND = 404
 
 
-def make_readiness(
+def make_readiness_server(
     address: Address, path: bytes, ready: Callable[[], bool], now: Callable[[], float]
 ) -> Front:
     """Return a server that answers one path; bound, not started.
--- a/agaterail/gateway/retrybudget.py
+++ b/agaterail/gateway/retrybudget.py
@@ -9,14 +9,14 @@
 # The window slides, requests are counted in whole windows and daemons' shares
 # change hands: a share may be used up by two daemons within one window. Half
 # of the allowance is kept back for that.
-SAFE_SHARE = 0.5
+FIXED_SAFETY_FACTOR = 0.5
 # Of the part that grows with traffic nothing is shared, but a request counted
 # here may be seen at the target in the next window.
-SAFE_RATIO_SHARE = 0.8
+RATIO_SAFETY_FACTOR = 0.8
 
 
 @attrs.frozen(kw_only=True)
-class BudgetTerms:
+class RetryBudgetLimits:
     """What all daemons together may send beyond the first time, per service.
 
     Attributes
@@ -43,8 +43,8 @@
     out so that the shares of all holders sum to one.
     """
 
-    def __init__(self, terms: BudgetTerms) -> None:
-        self.terms = terms
+    def __init__(self, limits: RetryBudgetLimits) -> None:
+        self.limits = limits
         self.share = 0.0
         self.requests: dict[str, deque[float]] = {}
         self.repeats: dict[str, deque[float]] = {}
@@ -53,22 +53,22 @@
         """Count a caller's request."""
         held = self.requests.setdefault(service, deque())
         held.append(now)
-        _expire(held, now - self.terms.window_s)
+        _expire(held, now - self.limits.window_s)
 
-    def left(self, service: str, now: float) -> float:
+    def remaining(self, service: str, now: float) -> float:
         """Return the repeats that are left in the current window."""
-        start = now - self.terms.window_s
+        start = now - self.limits.window_s
         requests = self.requests.setdefault(service, deque())
         repeats = self.repeats.setdefault(service, deque())
         _expire(requests, start)
         _expire(repeats, start)
-        grown = self.terms.ratio * SAFE_RATIO_SHARE * len(requests)
-        fixed = self.terms.extra * SAFE_SHARE * self.share
-        return grown + fixed - len(repeats)
+        proportional = self.limits.ratio * RATIO_SAFETY_FACTOR * len(requests)
+        fixed = self.limits.extra * FIXED_SAFETY_FACTOR * self.share
+        return proportional + fixed - len(repeats)
 
-    def take(self, service: str, now: float) -> bool:
+    def try_consume(self, service: str, now: float) -> bool:
         """Use one repeat, if there is one."""
-        if self.left(service, now) < 1.0:
+        if self.remaining(service, now) < 1.0:
             return False
         self.repeats[service].append(now)
         return True
--- a/agaterail/gateway/sender.py
+++ b/agaterail/gateway/sender.py
@@ -8,7 +8,7 @@
 
 from agaterail import logs
 from agaterail.errors import ErrorKind, Failure
-from agaterail.gateway.admission import is_hopeless, retry_after_s
+from agaterail.gateway.admission import retry_after_s, would_miss_deadline
 from agaterail.gateway.attempt import Attempt
 from agaterail.gateway.attempts import AttemptOutcome
 from agaterail.gateway.inbound import AttemptHead
@@ -142,7 +142,7 @@
                 return self._given_up(now, "no usable target")
             self.choice = choice
             wait_s = self.daemon.expected_wait_s(self.job, choice)
-            if is_hopeless(wait_s, left):
+            if would_miss_deadline(wait_s, left):
                 return self._given_up(now, f"expected wait {wait_s:.1f} s")
             overload = self._overload(now)
             if overload is not None:
@@ -151,7 +151,9 @@
             channel = self._connect(choice, left, now)
             if channel is None:
                 continue
-            if self.attempts.sends and not self.daemon.budget.take(self.job.service, now):
+            if self.attempts.sends and not self.daemon.budget.try_consume(
+                self.job.service, now
+            ):
                 self.daemon.channels.give_back_unused(choice.target, channel)
                 return self._given_up(now, "no repeat left in the budget")
             return choice, channel
@@ -173,10 +175,13 @@
             return None
         random = self.daemon.random
         shedder = self.daemon.shedder_of(self.job.service)
-        if not shedder.refuses(random.random(), now):
+        if not shedder.should_refuse(random.random(), now):
             return None
         left = self.job.answer_by - now
-        reason = f"wait {shedder.mean_wait:.2f} objectives, {shedder.chance:.2f} refused"
+        reason = (
+            f"wait {shedder.mean_wait:.2f} objectives, "
+            f"{shedder.refusal_probability:.2f} refused"
+        )
         hint = retry_after_s(left, random.random(), overloaded=True)
         return Failure(ErrorKind.OVERLOADED, reason, hint)
 
--- a/agaterail/gateway/state.py
+++ b/agaterail/gateway/state.py
@@ -6,8 +6,8 @@
 
 from agaterail import logs
 from agaterail.gateway.controlstore import NEVER, DesiredPublished, TargetChanged, WeightsNamed
-from agaterail.gateway.namedweights import NamedWeights
-from agaterail.gateway.targets import TargetBook
+from agaterail.gateway.targets import TargetRegistry
+from agaterail.gateway.versionhistory import VersionHistory
 from agaterail.util.units import MS_PER_S
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
     from agaterail.gateway.controlstore import Arrival, Change
     from agaterail.gateway.desired import DesiredState
     from agaterail.gateway.freshness import Freshness
-    from agaterail.gateway.namedweights import NamingRecord
+    from agaterail.gateway.versionhistory import VersionAgeRecord
 
 logger = logs.get_logger("state")
 
@@ -57,19 +57,19 @@
     def __init__(
         self,
         freshness: Freshness,
-        book: TargetBook,
+        book: TargetRegistry,
         assumed_age_s: float = 0.0,
         clock_skew_s: float = 0.0,
     ) -> None:
         self.assumed_age_s = assumed_age_s
         self.clock_skew_s = clock_skew_s
-        self.naming: NamingRecord | None = None
+        self.naming: VersionAgeRecord | None = None
         self.naming_since = 0.0
         self.freshness = freshness
         self.book = book
         self.desired: DesiredState | None = None
         self.may_be_outdated = False
-        self.weights: dict[str, NamedWeights] = {}
+        self.weights: dict[str, VersionHistory] = {}
         self.target_offsets: dict[str, int] = {}
 
     def apply(
@@ -150,7 +150,7 @@
 
     def apply_version_ages(
         self,
-        record: NamingRecord,
+        record: VersionAgeRecord,
         now: float,
         time_of_day: float,
         written_after: float = NEVER,
@@ -177,7 +177,7 @@
         former = self.weights[model]
         ages = self.naming.ages.get(model, ())
         read_at = self.naming_since - self.naming.reading_age_s
-        found = former.restored(ages, self.naming_since, read_at)
+        found = former.with_restored_ages(ages, self.naming_since, read_at)
         if found == former:
             return
         self.weights[model] = found
@@ -203,8 +203,8 @@
         known = self.weights.get(change.model)
         if known is not None and change.version <= known.newest:
             return
-        known = known or NamedWeights(())
-        self.weights[change.model] = known.named(change.version, known_at, at_start)
+        known = known or VersionHistory(())
+        self.weights[change.model] = known.with_version(change.version, known_at, at_start)
         logger.info(
             "New weights version named.",
             model=change.model,
@@ -234,7 +234,7 @@
                 )
             self._trim_tombstones()
             return
-        changed = known is None or known.entry != change.entry
+        changed = known is None or known.registration != change.entry
         self.book.put(change.entry)
         if changed:
             logger.info(
--- a/agaterail/gateway/streampace.py
+++ b/agaterail/gateway/streampace.py
@@ -11,33 +11,33 @@
     from agaterail.gateway.desired import Route
 
 # Ended streams of a route by which the length of the longest is known.
-KEPT_LENGTHS = 256
-LEAST_LENGTHS = 20
+MAX_LENGTHS = 256
+MIN_LENGTHS = 20
 # The middle of the longest tenth.
 LONG_QUANTILE = 0.95
 # Time between events is averaged over so long; several events of each stream.
 WINDOW_S = 1.0
 # Fewer events say little of the engines.
-LEAST_EVENTS = 10
+MIN_EVENTS = 10
 # Lengths change slowly; sorting them for each prompt would be wasted.
-LENGTH_PERIOD_S = 1.0
+QUANTILE_REFRESH_S = 1.0
 
 
 @attrs.define
-class _Lengths:
+class _StreamLengths:
     """Events of the streams of one route that ended."""
 
     route: Route
-    counts: deque[int] = attrs.field(factory=lambda: deque(maxlen=KEPT_LENGTHS))
+    counts: deque[int] = attrs.field(factory=lambda: deque(maxlen=MAX_LENGTHS))
     long: int | None = None
-    found_at: float = float("-inf")
+    computed_at: float = float("-inf")
 
     def long_count(self, now: float) -> int | None:
         """Return the events of a long stream; None as long as too few have ended."""
-        if now - self.found_at >= LENGTH_PERIOD_S and len(self.counts) >= LEAST_LENGTHS:
+        if now - self.computed_at >= QUANTILE_REFRESH_S and len(self.counts) >= MIN_LENGTHS:
             ordered = sorted(self.counts)
             self.long = ordered[int(LONG_QUANTILE * (len(ordered) - 1))]
-            self.found_at = now
+            self.computed_at = now
         return self.long
 
 
@@ -51,7 +51,7 @@
     """
 
     def __init__(self) -> None:
-        self.lengths: dict[str, _Lengths] = {}
+        self.lengths: dict[str, _StreamLengths] = {}
         self.recent: deque[tuple[float, float, int]] = deque()
         self.seconds = 0.0
         self.events = 0
@@ -67,21 +67,22 @@
         """Take in how many events a stream had at its end."""
         lengths = self.lengths.get(route.name)
         if lengths is None or lengths.route is not route:
-            counts = deque(maxlen=KEPT_LENGTHS) if lengths is None else lengths.counts
-            lengths = self.lengths[route.name] = _Lengths(route, counts)
+            counts = deque(maxlen=MAX_LENGTHS) if lengths is None else lengths.counts
+            lengths = self.lengths[route.name] = _StreamLengths(route, counts)
         lengths.counts.append(events)
 
-    def strain(self, now: float) -> float:
+    def timeout_ratio(self, now: float) -> float:
         """Return the part of its time that a long stream needs; 0 if it is not known."""
         self._expire(now)
-        if self.events < LEAST_EVENTS:
+        if self.events < MIN_EVENTS:
             return 0.0
         pace_s = self.seconds / self.events
         return max(
-            (self._strain(item, pace_s, now) for item in self.lengths.values()), default=0.0
+            (self._timeout_ratio(item, pace_s, now) for item in self.lengths.values()),
+            default=0.0,
         )
 
-    def _strain(self, lengths: _Lengths, pace_s: float, now: float) -> float:
+    def _timeout_ratio(self, lengths: _StreamLengths, pace_s: float, now: float) -> float:
         long = lengths.long_count(now)
         return 0.0 if long is None else long * pace_s / lengths.route.timeout_s
 
--- a/agaterail/gateway/targets.py
+++ b/agaterail/gateway/targets.py
@@ -12,12 +12,12 @@
 # A target that failed is left alone for this long, doubled at each further
 # failure in a row. 250 ms is half of the shortest objective of a stream: one
 # request tries it again soon, the others go elsewhere meanwhile.
-FIRST_PAUSE_S = 0.25
-LONGEST_PAUSE_S = 4.0
+INITIAL_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 4.0
 # A target that refused because it is full or changes its weights recovers
 # within tens of milliseconds to 2 s; its pause grows from a shorter start.
-FIRST_REFUSAL_PAUSE_S = 0.1
-LONGEST_REFUSAL_PAUSE_S = 0.8
+INITIAL_REFUSAL_BACKOFF_S = 0.1
+MAX_REFUSAL_BACKOFF_S = 0.8
 
 
 @attrs.frozen(kw_only=True)
@@ -54,7 +54,7 @@
         Prompt tokens sent there whose first event has not come yet.
     cordoned_at
         Time since which it is next to load weights; None if it is not.
-    loaded_at
+    expected_loaded_at
         Time at which a cordoned target should have loaded.
     heard_at
         Time at which bytes last came from it on any connection.
@@ -62,15 +62,15 @@
         Time at which its registration vanished while the store was away.
     """
 
-    entry: Registration
+    registration: Registration
     in_flight: int = 0
     prefill_tokens: int = 0
     failures: int = 0
     refusals: int = 0
-    paused_until: float = 0.0
+    backoff_until: float = 0.0
     lapsed_at: float | None = None
     cordoned_at: float | None = None
-    loaded_at: float = float("inf")
+    expected_loaded_at: float = float("inf")
     heard_at: float = float("-inf")
     gone: bool = False
     versions_seen: dict[str, int] = attrs.field(factory=dict)
@@ -78,16 +78,16 @@
     @property
     def instance(self) -> str:
         """Return the id."""
-        return self.entry.instance
+        return self.registration.instance
 
     @property
     def address(self) -> str:
         """Return where it listens."""
-        return self.entry.address
+        return self.registration.address
 
     def weights_of(self, model: str) -> int | None:
         """Return the newest weights version known of a model."""
-        known = self.entry.weights.get(model)
+        known = self.registration.weights.get(model)
         seen = self.versions_seen.get(model)
         if known is None:
             return None
@@ -100,31 +100,33 @@
 
     def is_usable(self, now: float) -> bool:
         """Tell whether a new request may be sent there."""
-        return self.entry.ready and not self.gone and now >= self.paused_until
+        return self.registration.ready and not self.gone and now >= self.backoff_until
 
     def is_failing(self, now: float) -> bool:
         """Tell whether it is left alone because it failed."""
-        return self.failures > 0 and now < self.paused_until
+        return self.failures > 0 and now < self.backoff_until
 
     def note_success(self) -> None:
         """Forget earlier failures."""
         self.failures = self.refusals = 0
-        self.paused_until = 0.0
+        self.backoff_until = 0.0
 
     def note_failure(self, now: float) -> None:
         """Leave the target alone for a while, longer after each failure in a row."""
         self.failures += 1
-        pause = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2 ** (self.failures - 1))
-        self.paused_until = max(self.paused_until, now + pause)
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (self.failures - 1))
+        self.backoff_until = max(self.backoff_until, now + backoff_s)
 
     def note_refusal(self, now: float) -> None:
         """Leave a full or loading target alone for a moment."""
         self.refusals += 1
-        pause = FIRST_REFUSAL_PAUSE_S * 2 ** (self.refusals - 1)
-        self.paused_until = max(self.paused_until, now + min(LONGEST_REFUSAL_PAUSE_S, pause))
+        backoff_s = INITIAL_REFUSAL_BACKOFF_S * 2 ** (self.refusals - 1)
+        self.backoff_until = max(
+            self.backoff_until, now + min(MAX_REFUSAL_BACKOFF_S, backoff_s)
+        )
 
 
-class TargetBook:
+class TargetRegistry:
     """All registered targets, by id.
 
     Registrations also lapse while the platform's store is away although the
@@ -140,19 +142,19 @@
         self.returned_at: float | None = None
         self.on_gone: Callable[[Target], None] = lambda _target: None
 
-    def put(self, entry: Registration) -> Target:
+    def put(self, registration: Registration) -> Target:
         """Take in a registration; a new start forgets what was seen of the old."""
-        known = self.targets.get(entry.instance)
-        if known is not None and known.entry.born == entry.born:
-            known.entry = entry
+        known = self.targets.get(registration.instance)
+        if known is not None and known.registration.born == registration.born:
+            known.registration = registration
             known.lapsed_at = None
-            self._index()
+            self._rebuild_index()
             return known
         if known is not None:
             self._drop(known)
-        target = Target(entry=entry)
-        self.targets[entry.instance] = target
-        self._index()
+        target = Target(registration=registration)
+        self.targets[registration.instance] = target
+        self._rebuild_index()
         return target
 
     def remove(self, instance: str, now: float) -> None:
@@ -164,7 +166,7 @@
             target.lapsed_at = now
             return
         self._drop(target)
-        self._index()
+        self._rebuild_index()
 
     def store_returned(self, now: float) -> None:
         """Note that the store answers again after an outage."""
@@ -178,7 +180,7 @@
         for target in gone:
             self._drop(target)
         if gone:
-            self._index()
+            self._rebuild_index()
         return gone
 
     def of_service(self, service: str) -> list[Target]:
@@ -193,7 +195,7 @@
         self.targets.pop(target.instance, None)
         self.on_gone(target)
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self.by_service = {}
         for target in self.targets.values():
-            self.by_service.setdefault(target.entry.service, []).append(target)
+            self.by_service.setdefault(target.registration.service, []).append(target)
--- a/agaterail/gateway/namedweights.py
+++ b/agaterail/gateway/versionhistory.py
@@ -10,11 +10,11 @@
     from collections.abc import Mapping
 
 # Versions named within the time that counts; older ones change nothing.
-MOST_VERSIONS = 16
+MAX_VERSIONS = 16
 
 
 @attrs.frozen
-class NamedVersion:
+class DesiredVersion:
     """A weights version with the time since which it counts as named.
 
     Attributes
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class NamingRecord:
+class VersionAgeRecord:
     """Ages of the named versions, as one process knew them when it wrote them down.
 
     Attributes
@@ -58,41 +58,43 @@
 
 
 @attrs.frozen
-class NamedWeights:
+class VersionHistory:
     """Versions that were named of a model, the oldest first.
 
     Each version counts from its own naming: an engine that missed two versions
     is as late as the first of them says, not the second.
     """
 
-    versions: tuple[NamedVersion, ...]
+    versions: tuple[DesiredVersion, ...]
 
     @property
     def newest(self) -> int:
         """Return the version that engines should have."""
         return self.versions[-1].version
 
-    def first_after(self, held: int) -> NamedVersion | None:
+    def first_after(self, held: int) -> DesiredVersion | None:
         """Return the version that made another one outdated; None if none did."""
-        return next((named for named in self.versions if named.version > held), None)
+        return next((item for item in self.versions if item.version > held), None)
 
     def outdated_for_s(self, held: int, now: float) -> float | None:
         """Return for how long a version has been outdated; None if it is not."""
-        named = self.first_after(held)
-        return None if named is None else now - named.known_at
+        item = self.first_after(held)
+        return None if item is None else now - item.known_at
 
-    def named(self, version: int, known_at: float, assumed: bool = False) -> NamedWeights:
+    def with_version(
+        self, version: int, known_at: float, assumed: bool = False
+    ) -> VersionHistory:
         """Return these with one more version."""
-        kept = self.versions[-(MOST_VERSIONS - 1) :]
-        return NamedWeights((*kept, NamedVersion(version, known_at, assumed)))
+        kept = self.versions[-(MAX_VERSIONS - 1) :]
+        return VersionHistory((*kept, DesiredVersion(version, known_at, assumed)))
 
     def ages(self, now: float) -> tuple[VersionAge, ...]:
         """Return the ages of all versions."""
         return tuple(VersionAge(item.version, now - item.known_at) for item in self.versions)
 
-    def restored(
+    def with_restored_ages(
         self, ages: tuple[VersionAge, ...], since: float, read_at: float
-    ) -> NamedWeights:
+    ) -> VersionHistory:
         """Return these with what a record says of versions that were found at the start.
 
         A version that the record lacks was named after its writer's reading. A later
@@ -116,15 +118,15 @@
             former = by_version.get(version)
             if version > newest_found or (former and former.known_at >= known_at[version]):
                 continue
-            by_version[version] = NamedVersion(version, known_at[version], assumed=True)
-        witnessed = [item for item in self.versions if not item.assumed]
+            by_version[version] = DesiredVersion(version, known_at[version], assumed=True)
+        observed = [item for item in self.versions if not item.assumed]
         kept = [by_version[version] for version in sorted(by_version)]
-        return NamedWeights((*kept, *witnessed)[-MOST_VERSIONS:])
+        return VersionHistory((*kept, *observed)[-MAX_VERSIONS:])
 
 
 def record_ages(
-    weights: Mapping[str, NamedWeights], now: float, time_of_day: float, reading_age_s: float
-) -> NamingRecord:
+    weights: Mapping[str, VersionHistory], now: float, time_of_day: float, reading_age_s: float
+) -> VersionAgeRecord:
     """Return the ages of all named versions, for processes that start later."""
     ages = {model: item.ages(now) for model, item in weights.items()}
-    return NamingRecord(time_of_day, reading_age_s, ages)
+    return VersionAgeRecord(time_of_day, reading_age_s, ages)
--- a/agaterail/gateway/weightscontroller.py
+++ b/agaterail/gateway/weightscontroller.py
@@ -11,22 +11,22 @@
 
 from agaterail import logs
 from agaterail.gateway.controlstore import NEVER, LeaseEntry, StoreErrorKind
-from agaterail.gateway.enginecontrol import OpenRuns, OrderOutcome, WeightsOrder
+from agaterail.gateway.enginecontrol import InFlightPolicy, OrderOutcome, WeightsOrder
 from agaterail.gateway.loadtime import LoadTime
-from agaterail.gateway.namedweights import record_ages
 from agaterail.gateway.orderlease import OrderLease
+from agaterail.gateway.versionhistory import record_ages
 from agaterail.gateway.weightsplan import (
-    LOOK_AGAIN_S,
-    REFUSED_LOOK_AGAIN_S,
-    UNANSWERED_LOOK_AGAIN_S,
-    LoadPace,
+    POLL_INTERVAL_S,
+    REFUSED_POLL_S,
+    UNANSWERED_POLL_S,
+    RolloutConditions,
     WantedLoad,
     WeightsPlan,
     cordon,
-    first_look_s,
+    find_outdated,
+    first_poll_s,
     may_interrupt,
-    outdated,
-    release_all,
+    uncordon_all,
 )
 
 if TYPE_CHECKING:
@@ -57,9 +57,9 @@
         self.lease = OrderLease(daemon.settings.host, daemon.boot, gap_s=bounds.lease_s)
         self.plan = WeightsPlan()
         self.load_time = LoadTime(bounds.version_s)
-        self.ordered: dict[str, AcceptedOrder] = {}
-        self.looked = False
-        self.calling: set[str] = set()
+        self.accepted_orders: dict[str, AcceptedOrder] = {}
+        self.lease_read = False
+        self.calls_in_flight: set[str] = set()
         self.store_retry_at = 0.0
         self.time_of_day = time.time
 
@@ -67,46 +67,48 @@
         """Give the orders that are due, if it is on this daemon to give them."""
         now = self.daemon.now()
         engines = self._engines()
-        named = {model: item.newest for model, item in self.daemon.state.weights.items()}
+        desired_versions = {
+            model: item.newest for model, item in self.daemon.state.weights.items()
+        }
         self._measure_loads(now)
-        wanted = outdated(engines, named)
-        pace = self._pace(wanted, now)
+        wanted = find_outdated(engines, desired_versions)
+        conditions = self._conditions(wanted, now)
         # While nobody may give orders, an engine that is set aside for one is only
         # missing.
         if self.lease.is_held(now):
-            cordon(engines, named, pace, now)
+            cordon(engines, desired_versions, conditions, now)
         else:
-            release_all(engines)
+            uncordon_all(engines)
         leads = self.daemon.membership.leads and not self.daemon.stopping
         holds = self.lease.remaining_s(now) > 0.0 and not self.daemon.stopping
         if not (leads or holds) or not wanted:
             return
         if self.lease.needs_renewal(now) and not self._acquire(now):
             return
-        for load in self.plan.next_loads(engines, named, pace, now):
-            if load.target.instance not in self.calling:
-                self.calling.add(load.target.instance)
-                self.plan.ordered(load, now, REFUSED_LOOK_AGAIN_S, counts=True)
+        for load in self.plan.next_loads(engines, desired_versions, conditions, now):
+            if load.target.instance not in self.calls_in_flight:
+                self.calls_in_flight.add(load.target.instance)
+                self.plan.record_order(load, now, REFUSED_POLL_S, may_be_loading=True)
                 gevent.spawn(self._order, load)
 
-    def _pace(self, wanted: list[WantedLoad], now: float) -> LoadPace:
+    def _conditions(self, wanted: list[WantedLoad], now: float) -> RolloutConditions:
         weights = self.daemon.state.weights
         ages = [weights[load.model].outdated_for_s(load.held, now) or 0.0 for load in wanted]
-        return LoadPace(
+        return RolloutConditions(
             outdated_for_s=max(ages, default=0.0),
             allowed_s=self.daemon.settings.bounds.version_s,
-            demand=self.daemon.demand.engines(now) * self.daemon.rules.daemons,
+            demand=self.daemon.demand.engines_needed(now) * self.daemon.rules.daemons,
             load_s=self.load_time.load_s,
         )
 
     def _measure_loads(self, now: float) -> None:
-        for instance, order in list(self.ordered.items()):
+        for instance, order in list(self.accepted_orders.items()):
             held = order.load.target.weights_of(order.load.model)
             if held is not None and held >= order.load.version:
                 self.load_time.note(now - order.sent_at)
-                del self.ordered[instance]
+                del self.accepted_orders[instance]
             elif order.load.target.gone:
-                del self.ordered[instance]
+                del self.accepted_orders[instance]
 
     def _engines(self) -> list[Target]:
         desired = self.daemon.state.desired
@@ -136,11 +138,11 @@
             self.daemon.state.apply_version_ages(
                 newest.naming, now, time_of_day, written_after
             )
-        if newest is not None or not self.looked:
+        if newest is not None or not self.lease_read:
             self.lease.observe(newest, end, now)
         elif self.lease.end is None or end > self.lease.end:
-            self.lease.skip(end, now)
-        self.looked = True
+            self.lease.skip_records(end, now)
+        self.lease_read = True
 
     def release(self) -> None:
         """Give the lease up, so that another host orders soon."""
@@ -150,7 +152,7 @@
         if entry is None or at is None:
             return
         # The next holder may have started since: this record is all it reads.
-        entry = self._with_knowledge(entry, now)
+        entry = self._with_observations(entry, now)
         answer = self.daemon.store.append_lease(entry, at)
         logger.info("Lease released.", at=at, done=isinstance(answer, Success))
 
@@ -158,35 +160,35 @@
         """Append a record for the lease; tells whether it is held now."""
         if now < self.store_retry_at:
             return False
-        if not self.looked:
+        if not self.lease_read:
             return False
         wait_s = self.lease.wait_s(now)
         if wait_s > 0.0 or self.lease.end is None:
-            self.store_retry_at = now + min(1.0, max(REFUSED_LOOK_AGAIN_S, wait_s))
+            self.store_retry_at = now + min(1.0, max(REFUSED_POLL_S, wait_s))
             return False
         if not self.lease.needs_renewal(now):
             return True
         at = self.lease.end
-        self.lease.sending(at, now)
-        entry = self._with_knowledge(LeaseEntry(self.lease.host, self.lease.boot), now)
+        self.lease.begin_append(at, now)
+        entry = self._with_observations(LeaseEntry(self.lease.host, self.lease.boot), now)
         answer = self.daemon.store.append_lease(entry, at)
         if isinstance(answer, Success):
             renewed = self.lease.fencing is not None
-            self.lease.appended(answer.unwrap())
+            self.lease.complete_append(answer.unwrap())
             if not renewed:
-                self.plan.forget()
+                self.plan.clear()
                 logger.info("Lease acquired.", fencing=self.lease.fencing)
             return self.lease.remaining_s(self.daemon.now()) > 0.0
         kind = answer.failure().kind
         logger.info("Lease not acquired.", reason=kind.value, at=at)
         if kind is StoreErrorKind.CONFLICT:
-            self.lease.lost()
+            self.lease.mark_lost()
         elif self.lease.remaining_s(self.daemon.now()) <= 0.0:
             self.lease.fencing = None
-        self.store_retry_at = self.daemon.now() + REFUSED_LOOK_AGAIN_S
+        self.store_retry_at = self.daemon.now() + REFUSED_POLL_S
         return False
 
-    def _with_knowledge(self, entry: LeaseEntry, now: float) -> LeaseEntry:
+    def _with_observations(self, entry: LeaseEntry, now: float) -> LeaseEntry:
         """Return a record with what a process that starts later cannot know otherwise."""
         naming = record_ages(
             self.daemon.state.weights,
@@ -198,16 +200,16 @@
 
     def _order(self, load: WantedLoad) -> None:
         try:
-            self._order_checked(load)
+            self._check_and_order(load)
         finally:
-            self.calling.discard(load.target.instance)
+            self.calls_in_flight.discard(load.target.instance)
 
-    def _order_checked(self, load: WantedLoad) -> None:
+    def _check_and_order(self, load: WantedLoad) -> None:
         target, plan = load.target, self.plan
         found = self.daemon.engine_control.report(target)
         now = self.daemon.now()
         if not isinstance(found, Success):
-            plan.ordered(load, now, UNANSWERED_LOOK_AGAIN_S, counts=False)
+            plan.record_order(load, now, UNANSWERED_POLL_S, may_be_loading=False)
             logger.info("No report.", target=target.instance, reason=found.failure())
             return
         report = found.unwrap()
@@ -215,18 +217,18 @@
         if held is not None:
             target.note_weights(load.model, held)
         if report.loading:
-            plan.ordered(load, now, LOOK_AGAIN_S, counts=True)
+            plan.record_order(load, now, POLL_INTERVAL_S, may_be_loading=True)
             return
         if held is not None and held >= load.version:
             return
-        open_runs = report.running + report.waiting
-        if open_runs and not may_interrupt(target, now):
-            plan.ordered(load, now, LOOK_AGAIN_S, counts=True)
+        unfinished = report.running + report.waiting
+        if unfinished and not may_interrupt(target, now):
+            plan.record_order(load, now, POLL_INTERVAL_S, may_be_loading=True)
             return
         fencing = self.lease.fencing
         if fencing is None or self.lease.remaining_s(now) <= 0.0:
             return
-        plan.ordered(load, now, first_look_s(self.load_time.known_s), counts=True)
+        plan.record_order(load, now, first_poll_s(self.load_time.known_s), may_be_loading=True)
         self.lease.ordered_at = now
         outcome = self.daemon.engine_control.order(
             target,
@@ -236,12 +238,14 @@
                 host=self.lease.host,
                 fencing=fencing,
                 after_orders=report.orders_accepted,
-                open_runs=OpenRuns.GO_ON if open_runs else OpenRuns.FINISH_FIRST,
+                in_flight_policy=InFlightPolicy.CONTINUE
+                if unfinished
+                else InFlightPolicy.FINISH_FIRST,
             ),
         )
-        self._settle(load, outcome, fencing, now)
+        self._handle_outcome(load, outcome, fencing, now)
 
-    def _settle(
+    def _handle_outcome(
         self, load: WantedLoad, outcome: OrderOutcome, fencing: int, sent_at: float
     ) -> None:
         now = self.daemon.now()
@@ -255,13 +259,13 @@
             load_s=round(self.load_time.load_s, 3),
         )
         if outcome is OrderOutcome.ACCEPTED:
-            self.ordered[load.target.instance] = AcceptedOrder(load, sent_at)
-        if outcome is OrderOutcome.HOLDS:
+            self.accepted_orders[load.target.instance] = AcceptedOrder(load, sent_at)
+        if outcome is OrderOutcome.ALREADY_LOADED:
             load.target.note_weights(load.model, load.version)
         elif outcome is OrderOutcome.FENCED:
-            self.lease.lost()
-            self.plan.forget()
+            self.lease.mark_lost()
+            self.plan.clear()
         elif outcome is OrderOutcome.UNANSWERED:
-            self.plan.ordered(load, now, UNANSWERED_LOOK_AGAIN_S, counts=True)
+            self.plan.record_order(load, now, UNANSWERED_POLL_S, may_be_loading=True)
         elif outcome is not OrderOutcome.ACCEPTED:
-            self.plan.ordered(load, now, REFUSED_LOOK_AGAIN_S, counts=False)
+            self.plan.record_order(load, now, REFUSED_POLL_S, may_be_loading=False)
--- a/agaterail/platform/cacheevents.py
+++ b/agaterail/platform/cacheevents.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from agaterail.gateway.inbound import part_key
-from agaterail.gateway.keptparts import CacheChange, CacheFeed, CacheNews
+from agaterail.gateway.kvstoreindex import CacheChange, CacheChangeBatch, CacheFeed
 from agaterail.platform import fields, names
 from agaterail.platform.fields import MalformedError
 from agaterail.util.httpconn import ConnectionsByAddress
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.stores = ConnectionsByAddress(CONNECT_TIMEOUT_S)
 
-    def follow(self, address: str, since: int, wait_s: float) -> Result[CacheNews, str]:
+    def follow(self, address: str, since: int, wait_s: float) -> Result[CacheChangeBatch, str]:
         """Return the changes from a number on, waiting for the first one."""
         called = self.stores.to(address).call(
             "GET",
@@ -47,7 +47,7 @@
             return Failure(str(error))
 
 
-def decode_news(body: bytes) -> CacheNews:
+def decode_news(body: bytes) -> CacheChangeBatch:
     """Return the changes in an answer.
 
     Raises
@@ -57,7 +57,7 @@
     """
     found = fields.table(json.loads(body), "the answer")
     events = fields.rows(found, "events")
-    return CacheNews(
+    return CacheChangeBatch(
         epoch=fields.whole(found, "boot_epoch"),
         next_number=fields.whole(found, "next"),
         changes=tuple(_change(event) for event in events),
--- a/agaterail/platform/engines.py
+++ b/agaterail/platform/engines.py
@@ -9,7 +9,7 @@
 from agaterail.gateway.enginecontrol import (
     EngineControl,
     EngineReport,
-    OpenRuns,
+    InFlightPolicy,
     OrderOutcome,
     WeightsOrder,
 )
@@ -23,14 +23,14 @@
 ANSWER_TIMEOUT_S = 0.6
 OK = 200
 OUTCOMES = {
-    200: OrderOutcome.HOLDS,
+    200: OrderOutcome.ALREADY_LOADED,
     202: OrderOutcome.ACCEPTED,
     400: OrderOutcome.UNKNOWN_VERSION,
     409: OrderOutcome.BUSY,
     412: OrderOutcome.FENCED,
     421: OrderOutcome.OTHER_TARGET,
 }
-MODES = {OpenRuns.FINISH_FIRST: "wait", OpenRuns.GO_ON: "keep"}
+MODES = {InFlightPolicy.FINISH_FIRST: "wait", InFlightPolicy.CONTINUE: "keep"}
 
 
 class PlatformEngines(EngineControl):
@@ -59,7 +59,7 @@
             "op": "version",
             "model": order.model,
             "version": order.version,
-            "mode": MODES[order.open_runs],
+            "mode": MODES[order.in_flight_policy],
             "holder": order.host,
             "fence": order.fencing,
             # The wire's "expect" is a count of orders, not an instance.
--- a/agaterail/platform/feedrecords.py
+++ b/agaterail/platform/feedrecords.py
@@ -23,7 +23,7 @@
     TargetChanged,
     WeightsNamed,
 )
-from agaterail.gateway.namedweights import NamingRecord, VersionAge
+from agaterail.gateway.versionhistory import VersionAge, VersionAgeRecord
 from agaterail.platform import fields, names
 from agaterail.platform.desired import DesiredDecoder, decode_weights
 from agaterail.platform.registrations import decode_registration
@@ -151,7 +151,7 @@
     return records
 
 
-def encode_naming(naming: NamingRecord) -> dict[str, Any]:
+def encode_naming(naming: VersionAgeRecord) -> dict[str, Any]:
     """Return ages of weights versions as they lie in a record of the lease."""
     ages = {
         model: [[item.version, round(item.age_s, 3)] for item in items]
@@ -164,7 +164,7 @@
     }
 
 
-def _decode_naming(found: object) -> NamingRecord | None:
+def _decode_naming(found: object) -> VersionAgeRecord | None:
     """Return the ages in a record; None without any.
 
     Raises
@@ -180,7 +180,7 @@
         if not isinstance(rows, list):
             raise fields.MalformedError("the ages of a model are no list")
         ages[model] = tuple(_decode_age(row) for row in rows)
-    return NamingRecord(
+    return VersionAgeRecord(
         fields.number(whole, "written_at"), fields.number(whole, "reading_age_s"), ages
     )
 
--- a/agaterail/platform/settings.py
+++ b/agaterail/platform/settings.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Result, Success
 
 from agaterail.gateway.hostsettings import Bounds, HostSettings, StoreSettings
-from agaterail.gateway.retrybudget import BudgetTerms
+from agaterail.gateway.retrybudget import RetryBudgetLimits
 from agaterail.platform import fields
 from agaterail.platform.fields import MalformedError
 from agaterail.util.address import Address
@@ -89,7 +89,7 @@
         version_s=fields.number(bounds, "version_ms", 15000.0) * MS,
         clock_skew_s=fields.number(bounds, "skew_max_ms", 5000.0) * MS,
         fenced=fields.flag(bounds, "require_fencing"),
-        retries=BudgetTerms(
+        retries=RetryBudgetLimits(
             ratio=fields.number(bounds, "budget_ratio"),
             extra=fields.number(bounds, "budget_extra"),
             window_s=fields.number(bounds, "budget_window_s"),
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -10,7 +10,7 @@
 
 from agaterail.gateway.daemon import Daemon
 from agaterail.gateway.hostsettings import Bounds, HostSettings, StoreSettings
-from agaterail.gateway.retrybudget import BudgetTerms
+from agaterail.gateway.retrybudget import RetryBudgetLimits
 from agaterail.platform.cacheevents import PlatformCacheFeed
 from agaterail.platform.engines import PlatformEngines
 from agaterail.platform.store import PlatformStore
@@ -29,7 +29,7 @@
     lease_s=0.3,
     version_s=15.0,
     fenced=True,
-    retries=BudgetTerms(ratio=0.2, extra=200.0, window_s=10.0),
+    retries=RetryBudgetLimits(ratio=0.2, extra=200.0, window_s=10.0),
 )
 
 
--- a/tests/test_agaterail/test_gateway/test_admission.py
+++ b/tests/test_agaterail/test_gateway/test_admission.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from agaterail.gateway.admission import expected_wait_s, is_hopeless, retry_after_s
+from agaterail.gateway.admission import expected_wait_s, retry_after_s, would_miss_deadline
 from tests.test_agaterail.test_gateway.test_targets import make_target
 
 
@@ -11,24 +11,24 @@
     def setUp(self):
         self.engines = [make_target(f"i-{n}") for n in range(4)]
 
-    def test_one_long_prompt_is_no_queue(self):
+    def test_one_long_prompt_does_not_count_as_a_queue(self):
         # A caller's prompt of 40,000 tokens is being read. The next caller, with
         # 5 s of time, must not be refused for what only this daemon has sent.
         self.engines[0].prefill_tokens = 40000
         wait_s = expected_wait_s(self.engines[0], self.engines, daemons=6.0)
         self.assertLess(wait_s, 2.0)
-        self.assertFalse(is_hopeless(wait_s, 5.0))
+        self.assertFalse(would_miss_deadline(wait_s, 5.0))
 
-    def test_what_cannot_be_in_time_is_refused_at_once(self):
+    def test_a_prompt_that_would_miss_its_deadline_is_refused(self):
         # All engines have seconds of prompts before them, as every daemon sees
         # at its own. A caller would wait for its whole time and get nothing.
         for engine in self.engines:
             engine.prefill_tokens = 60000
         wait_s = expected_wait_s(self.engines[0], self.engines, daemons=6.0)
-        self.assertTrue(is_hopeless(wait_s, 5.0))
-        self.assertFalse(is_hopeless(wait_s, 15.0))
+        self.assertTrue(would_miss_deadline(wait_s, 5.0))
+        self.assertFalse(would_miss_deadline(wait_s, 15.0))
 
-    def test_hints_fit_the_caller_s_time_and_spread(self):
+    def test_retry_hints_are_jittered_and_within_the_deadline(self):
         # Callers that were refused together come back spread, and none is told
         # to come back later than it will wait.
         hints = [retry_after_s(0.6, number / 10) for number in range(10)]
@@ -37,14 +37,14 @@
         self.assertLessEqual(retry_after_s(100.0, 0.0), 1.0)
         self.assertEqual(retry_after_s(-1.0, 0.5), 0.0)
 
-    def test_in_a_shortage_callers_with_time_come_back_later(self):
+    def test_overload_hints_are_longer(self):
         # Callers that come back after a second meet the same shortage and are
         # refused again.
         self.assertEqual(retry_after_s(15.0, 0.0, overloaded=True), 4.5)
         self.assertEqual(retry_after_s(15.0, 0.0), 1.0)
         self.assertLessEqual(retry_after_s(0.6, 0.0, overloaded=True), 0.2)
 
-    def test_most_who_are_refused_in_a_shortage_return_after_it(self):
+    def test_most_callers_refused_under_overload_return_after_it(self):
         # Engines are lost for 3 to 8 s and a tenth to nine tenths of the prompts are
         # refused. Callers come back once, when they were told to; whoever meets the
         # shortage again with bad luck is lost. With the hint in proportion to what
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -441,7 +441,7 @@
         self.addCleanup(fleet.stop)
         daemon = fleet.daemons[0]
         shedder = daemon.shedder_of(LLM)
-        shedder.stepped_at, shedder.chance = daemon.now() + 60.0, 1.0
+        shedder.stepped_at, shedder.refusal_probability = daemon.now() + 60.0, 1.0
         started = daemon.now()
         answer = fleet.ask("/once/a", stream=True)
         self.assertEqual(answer.status, 503)
--- a/tests/test_agaterail/test_gateway/test_forwarder.py
+++ b/tests/test_agaterail/test_gateway/test_forwarder.py
@@ -23,7 +23,7 @@
 
 
 def use_up_budget(fleet, other):
-    fleet.daemons[0].budget.left = lambda *_: 0.0
+    fleet.daemons[0].budget.remaining = lambda *_: 0.0
 
 
 def stop_listening(fleet, other):
--- a/tests/test_agaterail/test_gateway/test_freshness.py
+++ b/tests/test_agaterail/test_gateway/test_freshness.py
@@ -16,7 +16,7 @@
         self.assertFalse(self.freshness.allows_keys(0.0))
         self.assertFalse(self.freshness.allows_denial(0.0))
 
-    def test_a_host_that_was_suspended_accepts_no_key(self):
+    def test_a_resumed_host_accepts_no_key_before_a_read(self):
         # A caller with a key that was taken away 6 s ago sends to a host that
         # has just woken: nothing was read meanwhile. The clock counts the
         # sleep, so the key is refused until the store has been read again.
@@ -24,7 +24,7 @@
         self.assertTrue(self.freshness.allows_keys(104.7))
         self.assertFalse(self.freshness.allows_keys(106.0))
 
-    def test_an_answer_that_was_overtaken_does_not_make_the_reading_older(self):
+    def test_an_out_of_order_answer_does_not_increase_the_age(self):
         self.freshness.confirm(100.0)
         self.freshness.confirm(99.0)
         self.assertEqual(self.freshness.age_s(100.0), 0.0)
--- a/tests/test_agaterail/test_gateway/test_loadtime.py
+++ b/tests/test_agaterail/test_gateway/test_loadtime.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from agaterail.gateway.loadtime import ASSUMED_PART, KEPT_LOADS, LoadTime
+from agaterail.gateway.loadtime import ASSUMED_FRACTION, MAX_SAMPLES, LoadTime
 
 ALLOWED_S = 8.0
 
@@ -14,12 +14,12 @@
     def setUp(self):
         self.load_time = LoadTime(ALLOWED_S)
 
-    def test_before_the_first_load_the_assumed_value_holds(self):
+    def test_the_assumed_value_is_used_before_the_first_load(self):
         self.assertIsNone(self.load_time.known_s)
-        self.assertEqual(self.load_time.load_s, ALLOWED_S * ASSUMED_PART)
+        self.assertEqual(self.load_time.load_s, ALLOWED_S * ASSUMED_FRACTION)
 
     @given(real=st.floats(0.3, 8.0))
-    def test_it_follows_what_is_seen(self, real):
+    def test_the_estimate_follows_the_observations(self, real):
         load_time = LoadTime(ALLOWED_S)
         for _ in range(3):
             load_time.note(real)
@@ -33,20 +33,20 @@
             load_time.note(seconds)
         self.assertAlmostEqual(load_time.load_s, real)
 
-    def test_engines_that_are_replaced_by_slower_ones_are_learned(self):
-        for _ in range(KEPT_LOADS):
+    def test_the_estimate_adapts_to_slower_engines(self):
+        for _ in range(MAX_SAMPLES):
             self.load_time.note(0.4)
-        for _ in range(KEPT_LOADS // 2 + 1):
+        for _ in range(MAX_SAMPLES // 2 + 1):
             self.load_time.note(3.0)
         self.assertEqual(self.load_time.load_s, 3.0)
 
-    def test_what_cannot_be_a_load_is_left_out(self):
+    def test_implausible_durations_are_ignored(self):
         self.load_time.note(-1.0)
         self.load_time.note(60.0)
         self.load_time.adopt(0.0)
         self.assertIsNone(self.load_time.known_s)
 
-    def test_the_value_of_another_giver_of_orders_replaces_the_own(self):
+    def test_the_value_of_another_lease_holder_replaces_the_local_one(self):
         self.load_time.note(1.9)
         self.load_time.adopt(0.5)
         self.assertEqual(self.load_time.load_s, 0.5)
--- a/tests/test_agaterail/test_gateway/test_orderlease.py
+++ b/tests/test_agaterail/test_gateway/test_orderlease.py
@@ -33,13 +33,13 @@
     if lease.wait_s(now) > 0.0:
         return False
     at = lease.end
-    lease.sending(at, now)
+    lease.begin_append(at, now)
     offset = log.append(LeaseEntry(lease.host, lease.boot), at)
     if offset is None:
-        lease.lost()
+        lease.mark_lost()
         return False
     if not answer_lost:
-        lease.appended(offset)
+        lease.complete_append(offset)
     return True
 
 
@@ -52,8 +52,8 @@
     def test_the_first_of_two_appends_wins(self):
         self.one.observe(*self.log.read(), 0.0)
         self.other.observe(*self.log.read(), 0.0)
-        self.one.sending(0, 0.0)
-        self.other.sending(0, 0.0)
+        self.one.begin_append(0, 0.0)
+        self.other.begin_append(0, 0.0)
         self.assertEqual(self.log.append(LeaseEntry("one", "b1"), 0), 0)
         self.assertIsNone(self.log.append(LeaseEntry("other", "b2"), 0))
 
@@ -66,7 +66,7 @@
         self.assertTrue(acquire(self.other, self.log, 1.0 + TERM_S + GAP_S + 0.1))
         self.assertGreater(self.other.fencing, self.one.fencing)
 
-    def test_others_know_whether_a_host_may_order(self):
+    def test_other_hosts_know_whether_the_lease_is_held(self):
         self.other.observe(*self.log.read(), 0.0)
         self.assertFalse(self.other.is_held(0.0))
         acquire(self.one, self.log, 0.0)
@@ -77,24 +77,24 @@
         # A term and the delay of news later no renewal has come: nobody orders.
         self.assertFalse(self.other.is_held(0.1 + TERM_S + 0.7))
 
-    def test_after_a_release_nobody_may_order(self):
+    def test_a_released_lease_is_not_held(self):
         acquire(self.one, self.log, 0.0)
         released = self.one.release(0.5)
         self.log.append(released, self.one.end)
         self.other.observe(*self.log.read(), 0.6)
         self.assertFalse(self.other.is_held(0.6))
 
-    def test_a_holder_that_was_frozen_gives_no_orders(self):
+    def test_a_suspended_holder_gives_no_orders(self):
         acquire(self.one, self.log, 0.0)
         self.assertGreater(self.one.remaining_s(1.0), 0.0)
         self.assertEqual(self.one.remaining_s(TERM_S), 0.0)
 
-    def test_a_restarted_host_need_not_wait_for_itself(self):
+    def test_a_restarted_host_reacquires_its_own_lease_at_once(self):
         acquire(self.one, self.log, 0.0)
         again = OrderLease("one", "b9", GAP_S)
         self.assertTrue(acquire(again, self.log, 0.5))
 
-    def test_an_append_whose_answer_was_lost_counts_from_its_sending(self):
+    def test_an_append_whose_answer_was_lost_counts_from_when_it_was_sent(self):
         acquire(self.one, self.log, 0.0, answer_lost=True)
         self.assertEqual(self.one.remaining_s(0.1), 0.0)
         self.one.observe(*self.log.read(), 1.0)
@@ -102,7 +102,7 @@
         self.assertGreater(self.one.remaining_s(1.0), 0.0)
         self.assertEqual(self.one.remaining_s(1.6), 0.0)
 
-    def test_a_host_that_stops_lets_the_next_one_order_after_the_gap(self):
+    def test_after_a_release_the_next_host_waits_only_for_the_gap(self):
         # All hosts are restarted in turn while new weights are named. Were the
         # term of each waited out, engines would keep their old weights.
         acquire(self.one, self.log, 0.0)
@@ -115,7 +115,7 @@
         self.assertFalse(acquire(self.other, self.log, 1.6 + GAP_S - 1.0 - 0.1))
         self.assertTrue(acquire(self.other, self.log, 1.6 + GAP_S - 1.0 + 0.1))
 
-    def test_a_holder_that_gave_no_order_need_not_be_waited_for(self):
+    def test_after_a_release_without_orders_the_next_host_need_not_wait(self):
         acquire(self.one, self.log, 0.0)
         at = self.one.end
         self.log.append(self.one.release(0.5), at)
@@ -125,20 +125,20 @@
         # The log's history was dropped, with records of another host in it. A
         # host that went on naming the old end could never append again.
         acquire(self.one, self.log, 0.0)
-        self.one.skip(7, 1.0)
+        self.one.skip_records(7, 1.0)
         self.assertEqual((self.one.end, self.one.remaining_s(1.0)), (7, 0.0))
         self.assertGreater(self.one.wait_s(1.0 + TERM_S), 0.0)
         self.assertEqual(self.one.wait_s(1.0 + TERM_S + GAP_S), 0.0)
 
-    def test_an_answer_from_before_the_own_append_is_not_taken_in(self):
+    def test_a_read_older_than_the_own_append_is_ignored(self):
         before = self.log.read()
         acquire(self.one, self.log, 0.0)
         self.one.observe(*before, 0.1)
         self.assertEqual(self.one.end, 1)
 
-    def test_the_number_of_a_lost_lease_is_not_used_again(self):
+    def test_a_lost_lease_permits_no_orders(self):
         acquire(self.one, self.log, 0.0)
-        self.one.lost()
+        self.one.mark_lost()
         self.assertEqual(self.one.remaining_s(0.1), 0.0)
 
     @given(
--- a/tests/test_agaterail/test_gateway/test_state.py
+++ b/tests/test_agaterail/test_gateway/test_state.py
@@ -10,11 +10,11 @@
 from agaterail.gateway import state
 from agaterail.gateway.controlstore import DesiredPublished, TargetChanged, WeightsNamed
 from agaterail.gateway.freshness import Freshness
-from agaterail.gateway.namedweights import MOST_VERSIONS
 from agaterail.gateway.state import GatewayState
-from agaterail.gateway.targets import TargetBook
+from agaterail.gateway.targets import TargetRegistry
+from agaterail.gateway.versionhistory import MAX_VERSIONS
 from tests.test_agaterail.test_gateway.test_desired import make_desired
-from tests.test_agaterail.test_gateway.test_targets import make_entry
+from tests.test_agaterail.test_gateway.test_targets import make_registration
 
 GRACE_S = 2.0
 INSTANCES = st.sampled_from(["i-1", "i-2", "i-3"])
@@ -23,7 +23,7 @@
 
 class GatewayStateTest(unittest.TestCase):
     def setUp(self):
-        self.state = GatewayState(Freshness(5.0, 2.0), TargetBook(2.0), assumed_age_s=9.0)
+        self.state = GatewayState(Freshness(5.0, 2.0), TargetRegistry(2.0), assumed_age_s=9.0)
 
     def test_desired_state_version_is_monotonic(self):
         # A read that was overtaken arrives late. A removed route must not be restored.
@@ -72,28 +72,28 @@
         self.assertEqual(self.state.weights["m"].newest, 5)
 
     def test_older_target_change_is_ignored(self):
-        self.state.apply([TargetChanged(9, "i-1", make_entry(ready=False))], 0.0)
-        self.state.apply([TargetChanged(8, "i-1", make_entry(ready=True))], 0.0)
-        self.assertFalse(self.state.book.targets["i-1"].entry.ready)
+        self.state.apply([TargetChanged(9, "i-1", make_registration(ready=False))], 0.0)
+        self.state.apply([TargetChanged(8, "i-1", make_registration(ready=True))], 0.0)
+        self.assertFalse(self.state.book.targets["i-1"].registration.ready)
 
     def test_removed_target_can_register_again(self):
-        self.state.apply([TargetChanged(1, "i-1", make_entry())], 0.0)
+        self.state.apply([TargetChanged(1, "i-1", make_registration())], 0.0)
         self.state.apply([TargetChanged(2, "i-1", None)], 0.0)
         self.assertEqual(self.state.book.of_service("s"), [])
-        self.state.apply([TargetChanged(3, "i-1", make_entry())], 0.0)
+        self.state.apply([TargetChanged(3, "i-1", make_registration())], 0.0)
         self.assertEqual(len(self.state.book.of_service("s")), 1)
 
 
 class OutOfOrderTargetsTest(unittest.TestCase):
     def setUp(self):
-        self.book = TargetBook(GRACE_S)
+        self.book = TargetRegistry(GRACE_S)
         self.state = GatewayState(Freshness(5.0, 2.0), self.book)
 
     def test_late_slice_does_not_restore_removed_target(self):
         # While a read of the store is slow, a peer reports the registration and its
         # removal. The slow answer still contains the registration: requests would go to
         # an address that may belong to another engine by now.
-        registered = TargetChanged(4, "i-1", make_entry())
+        registered = TargetChanged(4, "i-1", make_registration())
         self.state.apply([registered, TargetChanged(5, "i-1", None)], 0.0)
         self.state.apply([registered], 0.1)
         self.assertEqual(self.book.of_service("s"), [])
@@ -101,12 +101,12 @@
     def test_late_listing_does_not_remove_newer_target(self):
         # The listing was read before the target registered and arrives afterwards. The
         # record is not read again, so the target would be missing for a long time.
-        self.state.apply([TargetChanged(7, "i-1", make_entry())], 0.0)
+        self.state.apply([TargetChanged(7, "i-1", make_registration())], 0.0)
         self.state.apply_listing([], 7, 0.1)
         self.assertEqual(len(self.book.of_service("s")), 1)
 
     def test_older_slice_does_not_restore_target_removed_by_listing(self):
-        registered = TargetChanged(4, "i-1", make_entry())
+        registered = TargetChanged(4, "i-1", make_registration())
         self.state.apply([registered], 0.0)
         self.state.apply_listing([], 6, 0.1)
         self.state.apply([registered], 0.2)
@@ -118,13 +118,13 @@
         # and requests would be sent to a removed target.
         self.state.apply([TargetChanged(0, "i-1", None)], 0.0)
         self.state.apply_listing([], 3, 0.1)
-        self.state.apply_listing([TargetChanged(1, "i-1", make_entry())], 2, 0.2)
+        self.state.apply_listing([TargetChanged(1, "i-1", make_registration())], 2, 0.2)
         self.assertEqual(self.book.of_service("s"), [])
 
     def test_tombstones_are_bounded(self):
         for number in range(3000):
             name = f"i-{number}"
-            self.state.apply([TargetChanged(2 * number, name, make_entry(name))], 0.0)
+            self.state.apply([TargetChanged(2 * number, name, make_registration(name))], 0.0)
             self.state.apply([TargetChanged(2 * number + 1, name, None)], 0.0)
         self.assertLess(len(self.state.target_offsets), 1100)
 
@@ -140,7 +140,7 @@
     def begin(self):
         self.log: list[TargetChanged] = []
         self.now = 100.0
-        self.book = TargetBook(GRACE_S)
+        self.book = TargetRegistry(GRACE_S)
         self.state = GatewayState(Freshness(5.0, 2.0), self.book)
         # Offset and change that are the newest received of each target.
         self.newest_seen: dict[str, tuple[int, TargetChanged]] = {}
@@ -150,7 +150,7 @@
     @rule(instance=INSTANCES, ready=st.booleans(), restarted=st.booleans())
     def register(self, instance, ready, restarted):
         born = len(self.log) if restarted else 0
-        entry = make_entry(instance, ready=ready, born=born)
+        entry = make_registration(instance, ready=ready, born=born)
         self.log.append(TargetChanged(len(self.log), instance, entry))
 
     @rule(instance=INSTANCES)
@@ -208,7 +208,7 @@
         assert living <= known, f"forgotten: {living - known}"
         assert known <= living | self.lapsing, f"back from the dead: {known - living}"
         for name in living:
-            assert self.book.targets[name].entry == self.newest_seen[name][1].entry
+            assert self.book.targets[name].registration == self.newest_seen[name][1].entry
 
 
 class VersionsMachine(RuleBasedStateMachine):
@@ -216,7 +216,9 @@
 
     @initialize()
     def begin(self):
-        self.state = GatewayState(Freshness(5.0, 2.0), TargetBook(GRACE_S), assumed_age_s=9.0)
+        self.state = GatewayState(
+            Freshness(5.0, 2.0), TargetRegistry(GRACE_S), assumed_age_s=9.0
+        )
         self.now = 0.0
         self.desired = -1
         self.first_seen: dict[int, float] = {}
@@ -245,7 +247,7 @@
         later = [at for version, at in self.first_seen.items() if version > held]
         expected = self.now - min(later) if later else None
         # If there are more versions than are kept, the oldest is dropped.
-        if len(self.first_seen) <= MOST_VERSIONS:
+        if len(self.first_seen) <= MAX_VERSIONS:
             assert self.state.weights["m"].outdated_for_s(held, self.now) == expected
 
 
--- a/tests/test_agaterail/test_gateway/test_streampace.py
+++ b/tests/test_agaterail/test_gateway/test_streampace.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-from agaterail.gateway.shedding import Shedder
-from agaterail.gateway.streampace import LEAST_LENGTHS, WINDOW_S, StreamPace
+from agaterail.gateway.shedding import LoadShedder
+from agaterail.gateway.streampace import MIN_LENGTHS, WINDOW_S, StreamPace
 from tests.test_agaterail.test_gateway.test_desired import make_route
 
 ROUTE = make_route(timeout_s=10.0)
@@ -20,31 +20,31 @@
         for count in counts:
             self.pace.note_end(route, count)
 
-    def test_a_long_stream_at_the_present_pace_is_held_against_its_time(self):
+    def test_a_long_stream_is_projected_at_the_current_pace(self):
         self.end_streams([10] * 94 + [80] * 6)
         self.pace.note(2.0, 20, 5.0)
-        self.assertAlmostEqual(self.pace.strain(5.0), 80 * 0.1 / 10.0)
+        self.assertAlmostEqual(self.pace.timeout_ratio(5.0), 80 * 0.1 / 10.0)
 
-    def test_little_is_known_of_few_streams_and_few_events(self):
-        self.end_streams([50] * (LEAST_LENGTHS - 1))
+    def test_the_ratio_is_zero_with_too_few_samples(self):
+        self.end_streams([50] * (MIN_LENGTHS - 1))
         self.pace.note(2.0, 20, 5.0)
-        self.assertEqual(self.pace.strain(5.0), 0.0)
+        self.assertEqual(self.pace.timeout_ratio(5.0), 0.0)
         self.end_streams([50])
         self.pace.note(1.0, 10, 6.1 + WINDOW_S)
-        self.assertGreater(self.pace.strain(6.1 + WINDOW_S), 0.0)
-        self.assertEqual(self.pace.strain(6.2 + 2 * WINDOW_S), 0.0)
+        self.assertGreater(self.pace.timeout_ratio(6.1 + WINDOW_S), 0.0)
+        self.assertEqual(self.pace.timeout_ratio(6.2 + 2 * WINDOW_S), 0.0)
 
-    def test_the_worst_route_counts(self):
-        self.end_streams([50] * LEAST_LENGTHS)
-        self.end_streams([30] * LEAST_LENGTHS, make_route("short", timeout_s=2.0))
+    def test_the_route_with_the_highest_ratio_counts(self):
+        self.end_streams([50] * MIN_LENGTHS)
+        self.end_streams([30] * MIN_LENGTHS, make_route("short", timeout_s=2.0))
         self.pace.note(2.0, 20, 5.0)
-        self.assertAlmostEqual(self.pace.strain(5.0), 30 * 0.1 / 2.0)
+        self.assertAlmostEqual(self.pace.timeout_ratio(5.0), 30 * 0.1 / 2.0)
 
-    def test_a_changed_route_keeps_its_lengths(self):
-        self.end_streams([50] * (LEAST_LENGTHS - 1))
+    def test_a_changed_route_keeps_its_stream_lengths(self):
+        self.end_streams([50] * (MIN_LENGTHS - 1))
         self.end_streams([50], make_route(timeout_s=5.0))
         self.pace.note(2.0, 20, 5.0)
-        self.assertAlmostEqual(self.pace.strain(5.0), 50 * 0.1 / 5.0)
+        self.assertAlmostEqual(self.pace.timeout_ratio(5.0), 50 * 0.1 / 5.0)
 
 
 @attrs.define(eq=False)
@@ -58,23 +58,23 @@
     event_at: float = 0.0
 
 
-class SlowSteps:
+class SimulatedEngine:
     """An engine that reads one prompt in each step, which then takes several times as long."""
 
     STEP_S, PREFILL_S, TOKENS = 0.005, 0.035, 4
     LIMIT_S, OBJECTIVE_S, CHANCE_OF_LONG_KIND = 15.0, 0.4, 0.4
 
-    def __init__(self, seed, by_pace=True):
+    def __init__(self, seed, use_pace=True):
         self.random = random.Random(seed)
         self.now = 0.0
-        self.shedder = Shedder("llm", 0.0)
-        if not by_pace:
-            self.shedder.pace.strain = lambda _now: 0.0
+        self.shedder = LoadShedder("llm", 0.0)
+        if not use_pace:
+            self.shedder.pace.timeout_ratio = lambda _now: 0.0
         self.route = make_route(timeout_s=self.LIMIT_S, objective_s=self.OBJECTIVE_S)
         self.queue, self.running = [], []
         self.offered, self.served = [], []
 
-    def play(self, seconds, per_s):
+    def run(self, seconds, per_s):
         next_at = 0.0
         while self.now < seconds:
             while next_at <= self.now:
@@ -87,7 +87,7 @@
         mean = 73 if self.random.random() < self.CHANCE_OF_LONG_KIND else 13
         events = max(1, min(213, int(mean * self.random.lognormvariate(-0.24, 0.69))))
         self.offered.append(events)
-        if self.shedder.refuses(self.random.random(), self.now):
+        if self.shedder.should_refuse(self.random.random(), self.now):
             return
         waiting = self.shedder.begin(self.OBJECTIVE_S, self.now)
         self.queue.append(Stream(events, self.now, waiting))
@@ -116,7 +116,7 @@
         if done:
             self.served.append(stream.events)
 
-    def served_parts(self):
+    def served_fractions(self):
         """Return the parts that are served of the largest tenth and of all."""
         bound = sorted(self.offered)[int(0.9 * len(self.offered))]
         largest = sum(item >= bound for item in self.served)
@@ -124,7 +124,7 @@
         return largest / offered, len(self.served) / len(self.offered)
 
 
-class LargestTenthTest(unittest.TestCase):
+class LongStreamFairnessTest(unittest.TestCase):
     """Long answers were cut at their time limit while first tokens stayed quick."""
 
     SECONDS, PER_S = 90.0, 62.5
@@ -132,13 +132,13 @@
     def test_the_largest_tenth_is_served_at_least_half_as_often_as_all(self):
         for seed in range(3):
             with self.subTest(seed):
-                engine = SlowSteps(seed)
-                engine.play(self.SECONDS, self.PER_S)
-                largest, whole = engine.served_parts()
+                engine = SimulatedEngine(seed)
+                engine.run(self.SECONDS, self.PER_S)
+                largest, whole = engine.served_fractions()
                 self.assertGreaterEqual(largest, whole / 2.0)
 
-    def test_by_first_tokens_alone_it_is_starved(self):
-        engine = SlowSteps(0, by_pace=False)
-        engine.play(self.SECONDS, self.PER_S)
-        largest, whole = engine.served_parts()
+    def test_without_the_pace_measure_long_streams_are_starved(self):
+        engine = SimulatedEngine(0, use_pace=False)
+        engine.run(self.SECONDS, self.PER_S)
+        largest, whole = engine.served_fractions()
         self.assertLess(largest, whole / 2.0)
--- a/tests/test_agaterail/test_gateway/test_targets.py
+++ b/tests/test_agaterail/test_gateway/test_targets.py
@@ -2,21 +2,21 @@
 
 import unittest
 
-from agaterail.gateway.targets import Registration, Target, TargetBook
+from agaterail.gateway.targets import Registration, Target, TargetRegistry
 
 
-def make_entry(instance="i-1", service="s", address="10.0.0.1:80", **fields):
+def make_registration(instance="i-1", service="s", address="10.0.0.1:80", **fields):
     fields.setdefault("ready", True)
     fields.setdefault("domain", "a")
     return Registration(instance=instance, service=service, address=address, **fields)
 
 
 def make_target(instance="i-1", **fields):
-    return Target(entry=make_entry(instance, **fields))
+    return Target(registration=make_registration(instance, **fields))
 
 
 class TargetTest(unittest.TestCase):
-    def test_a_failing_target_is_left_alone_longer_each_time(self):
+    def test_backoff_grows_with_each_failure(self):
         target = make_target()
         target.note_failure(0.0)
         self.assertFalse(target.is_usable(0.2))
@@ -26,7 +26,7 @@
         target.note_success()
         self.assertTrue(target.is_usable(0.7))
 
-    def test_a_draining_target_gets_nothing_new(self):
+    def test_a_draining_target_gets_no_new_requests(self):
         self.assertFalse(make_target(ready=False).is_usable(0.0))
 
     def test_an_answer_may_know_newer_weights_than_the_registration(self):
@@ -38,45 +38,45 @@
         self.assertIsNone(target.weights_of("other"))
 
 
-class TargetBookTest(unittest.TestCase):
+class TargetRegistryTest(unittest.TestCase):
     def setUp(self):
-        self.book = TargetBook(lapse_grace_s=2.0)
+        self.book = TargetRegistry(lapse_grace_s=2.0)
         self.gone = []
         self.book.on_gone = self.gone.append
 
-    def test_a_target_that_vanishes_is_gone_at_once(self):
-        self.book.put(make_entry())
+    def test_a_removed_target_is_dropped_immediately(self):
+        self.book.put(make_registration())
         self.book.remove("i-1", now=0.0)
         self.assertEqual(self.book.of_service("s"), [])
         self.assertTrue(self.gone[0].gone)
 
-    def test_a_restart_under_the_same_id_knows_nothing_of_before(self):
+    def test_a_restart_under_the_same_id_clears_observations(self):
         # A caller's prompt is sent to an engine that crashed and came back
         # empty: what was known of the old one must not count for the new one.
-        old = self.book.put(make_entry(born=1, weights={"m": 1}))
+        old = self.book.put(make_registration(born=1, weights={"m": 1}))
         old.note_weights("m", 5)
-        new = self.book.put(make_entry(born=2, weights={"m": 1}))
+        new = self.book.put(make_registration(born=2, weights={"m": 1}))
         self.assertIsNot(new, old)
         self.assertTrue(old.gone)
         self.assertEqual(new.weights_of("m"), 1)
 
-    def test_a_heartbeat_keeps_what_was_seen(self):
-        target = self.book.put(make_entry(born=1))
+    def test_a_heartbeat_keeps_observations(self):
+        target = self.book.put(make_registration(born=1))
         target.note_failure(0.0)
-        self.assertIs(self.book.put(make_entry(born=1, slots=4)), target)
+        self.assertIs(self.book.put(make_registration(born=1, slots=4)), target)
         self.assertEqual(target.failures, 1)
 
-    def test_what_lapsed_in_an_outage_is_kept_until_it_had_time_to_come_back(self):
+    def test_targets_that_lapsed_in_an_outage_are_kept_for_the_grace_period(self):
         # Right after the store's return its answers show registrations that
         # lapsed meanwhile. Callers would be refused although the targets live
         # and register again within two seconds.
-        self.book.put(make_entry("i-1"))
-        self.book.put(make_entry("i-2"))
+        self.book.put(make_registration("i-1"))
+        self.book.put(make_registration("i-2"))
         self.book.store_returned(now=100.0)
         self.book.remove("i-1", now=100.1)
         self.book.remove("i-2", now=100.1)
         self.assertEqual(len(self.book.of_service("s")), 2)
-        self.book.put(make_entry("i-1"))
+        self.book.put(make_registration("i-1"))
         self.assertEqual(self.book.expire(now=101.9), [])
         self.assertEqual([item.instance for item in self.book.expire(now=102.1)], ["i-2"])
         self.assertEqual([item.instance for item in self.book.of_service("s")], ["i-1"])
--- a/tests/test_agaterail/test_gateway/test_namedweights.py
+++ b/tests/test_agaterail/test_gateway/test_versionhistory.py
@@ -15,10 +15,15 @@
 
 from agaterail.gateway.controlstore import WeightsNamed
 from agaterail.gateway.freshness import Freshness
-from agaterail.gateway.namedweights import MOST_VERSIONS, NamingRecord, VersionAge, record_ages
 from agaterail.gateway.placement import choose_engine
 from agaterail.gateway.state import MAX_REGULAR_READING_GAP_S, GatewayState
-from agaterail.gateway.targets import TargetBook
+from agaterail.gateway.targets import TargetRegistry
+from agaterail.gateway.versionhistory import (
+    MAX_VERSIONS,
+    VersionAge,
+    VersionAgeRecord,
+    record_ages,
+)
 from tests.gateway_fleet import BOUNDS, MODEL, Fleet
 from tests.test_agaterail.test_gateway.test_placement import RULES, make_inbound
 from tests.test_agaterail.test_gateway.test_targets import make_target
@@ -27,7 +32,7 @@
 
 
 def make_state():
-    return GatewayState(Freshness(5.0, 2.0), TargetBook(2.0), ALLOWED_S, SKEW_S)
+    return GatewayState(Freshness(5.0, 2.0), TargetRegistry(2.0), ALLOWED_S, SKEW_S)
 
 
 class RestoredAgesTest(unittest.TestCase):
@@ -44,9 +49,9 @@
         self.state.apply([WeightsNamed(1, "m", 2)], 100.0, at_start=True)
         self.assertEqual(self.age(1, 100.0), ALLOWED_S)
 
-    def test_a_record_says_how_old_a_version_is(self):
+    def test_a_record_restores_the_age_of_a_version(self):
         """A start after a short rollout refused engines that could still serve."""
-        record = NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
+        record = VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
         for order in ("record first", "version first"):
             with self.subTest(order):
                 self.state = make_state()
@@ -58,46 +63,46 @@
                     step()
                 self.assertEqual(self.age(1, 50.0), 3.0 + 1.5 + SKEW_S)
 
-    def test_a_record_from_ahead_of_the_clock_is_not_younger_than_the_skew(self):
+    def test_a_record_from_the_future_is_at_least_as_old_as_the_skew(self):
         """A time of day that jumped back made an old version look new."""
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0, at_start=True)
-        record = NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
+        record = VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
         self.state.apply_version_ages(record, 50.0, 997.0)
         self.assertEqual(self.age(1, 50.0), 3.0 + SKEW_S)
 
-    def test_a_version_that_the_record_lacks_was_named_after_its_writer_s_reading(self):
+    def test_a_version_missing_from_the_record_is_newer_than_its_reading(self):
         """A version named right before the power went counted as overdue."""
         self.state.apply([WeightsNamed(1, "m", 3)], 50.0, at_start=True)
-        record = NamingRecord(1000.0, 0.5, {"m": (VersionAge(2, 9.0),)})
+        record = VersionAgeRecord(1000.0, 0.5, {"m": (VersionAge(2, 9.0),)})
         self.state.apply_version_ages(record, 50.0, 1001.0)
         self.assertEqual(self.age(2, 50.0), 0.5 + 1.0 + SKEW_S)
         self.assertEqual(self.age(1, 50.0), 9.0 + 1.0 + SKEW_S)
 
-    def test_a_record_of_which_the_writing_was_seen_needs_no_time_of_day(self):
+    def test_a_record_with_a_known_write_time_needs_no_wall_clock(self):
         """One host's restart beside others took their versions for seconds too old."""
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0, at_start=True)
-        record = NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
+        record = VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
         self.state.apply_version_ages(record, 52.0, 1000.0, written_after=51.5)
         self.assertEqual(self.age(1, 52.0), 3.5)
 
-    def test_an_older_record_makes_no_version_older_again(self):
+    def test_an_older_record_does_not_increase_an_age(self):
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0, at_start=True)
         self.state.apply_version_ages(
-            NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 1.0),)}), 50.0, 1000.0
+            VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 1.0),)}), 50.0, 1000.0
         )
         self.state.apply_version_ages(
-            NamingRecord(990.0, 0.0, {"m": (VersionAge(2, 4.0),)}), 50.0, 1000.0
+            VersionAgeRecord(990.0, 0.0, {"m": (VersionAge(2, 4.0),)}), 50.0, 1000.0
         )
         self.assertEqual(self.age(1, 50.0), 1.0 + SKEW_S)
 
-    def test_a_version_whose_naming_was_seen_is_left_as_it_is(self):
+    def test_an_observed_version_keeps_its_age(self):
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0)
         self.state.apply_version_ages(
-            NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 9.0),)}), 51.0, 1000.0
+            VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 9.0),)}), 51.0, 1000.0
         )
         self.assertEqual(self.age(1, 51.0), 1.0)
 
-    def test_what_was_named_during_a_freeze_is_as_old_as_the_reading_before(self):
+    def test_a_version_set_during_a_suspension_counts_from_the_last_read(self):
         """A host that woke took a version for new that was named at its freeze."""
         self.state.apply([WeightsNamed(1, "m", 2)], 60.0, previous_read_at=48.0)
         self.assertEqual(self.age(1, 60.0), 12.0)
@@ -109,21 +114,21 @@
     def test_an_overdue_engine_is_not_chosen_after_a_restart_of_all_hosts(self):
         """Twelve streams began on weights that had been replaced 15.6 s before."""
         self.state.apply([WeightsNamed(1, "m", 2)], 11.3, at_start=True)
-        record = NamingRecord(1000.0, 0.0, {"m": (VersionAge(2, 9.5),)})
+        record = VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 9.5),)})
         self.state.apply_version_ages(record, 11.3, 1001.8)
         engine, named = make_target("i-1", weights={"m": 1}), self.state.weights["m"]
         found = choose_engine(make_inbound("h"), [engine], set(), RULES, named, 14.5)
         self.assertIsNone(found)
 
 
-class NamingMachine(RuleBasedStateMachine):
+class VersionAgeMachine(RuleBasedStateMachine):
     """Processes that start, freeze, read and write records on clocks that err."""
 
     @initialize()
     def begin(self):
         self.time = 100.0
         self.named: dict[int, float] = {}
-        self.record: NamingRecord | None = None
+        self.record: VersionAgeRecord | None = None
         self.start(0.0, 0.0)
 
     def start(self, clock_zero, clock_error):
@@ -148,7 +153,7 @@
         self.state.apply(changes, self.now(), at_start, previous_read_at=self.read_at)
         self.read_at = self.now()
 
-    @precondition(lambda self: len(self.named) < MOST_VERSIONS)
+    @precondition(lambda self: len(self.named) < MAX_VERSIONS)
     @rule()
     def name(self):
         self.named[max(self.named, default=0) + 1] = self.time
@@ -179,7 +184,7 @@
         self.start(zero, error)
 
     @invariant()
-    def no_engine_is_overdue_unnoticed(self):
+    def ages_are_never_underestimated(self):
         weights = self.state.weights.get("m")
         if weights is None:
             return
@@ -190,15 +195,15 @@
             assert believed >= late_s - MAX_REGULAR_READING_GAP_S - 1e-6
 
 
-NamingMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=30)
+VersionAgeMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=30)
 
 
-class NamingMachineTest(NamingMachine.TestCase):
+class VersionAgeMachineTest(VersionAgeMachine.TestCase):
     pass
 
 
-class RestartOfAllTest(unittest.TestCase):
-    def test_what_the_lease_s_holder_wrote_is_read_at_the_next_start(self):
+class FullRestartTest(unittest.TestCase):
+    def test_ages_written_by_the_lease_holder_are_restored_at_start(self):
         """After a restart of all hosts nobody knew for how long a version had been named."""
         bounds = attrs.evolve(BOUNDS, clock_skew_s=2.0)
         fleet = Fleet(bounds=bounds)
--- a/tests/test_agaterail/test_gateway/test_weightscontroller.py
+++ b/tests/test_agaterail/test_gateway/test_weightscontroller.py
@@ -8,7 +8,7 @@
 
 from agaterail.gateway.controlstore import LeaseEntry
 from agaterail.gateway.enginecontrol import EngineReport, OrderOutcome
-from agaterail.gateway.namedweights import NamedVersion, NamedWeights
+from agaterail.gateway.versionhistory import DesiredVersion, VersionHistory
 from agaterail.gateway.weightscontroller import WeightsController
 from agaterail.gateway.weightsplan import DRAIN_S, should_have_loaded
 from tests.test_agaterail.test_gateway.test_targets import make_target
@@ -28,13 +28,13 @@
         stopping=False,
         membership=SimpleNamespace(leads=False),
         freshness=SimpleNamespace(age_s=lambda _now: 0.0),
-        demand=SimpleNamespace(engines=lambda _now: 0.0),
+        demand=SimpleNamespace(engines_needed=lambda _now: 0.0),
         rules=SimpleNamespace(daemons=1.0),
         state=SimpleNamespace(
             desired=SimpleNamespace(
                 services={SERVICE: SimpleNamespace(name=SERVICE, engine=object())}
             ),
-            weights={"m": NamedWeights((NamedVersion(2, 0.0),))},
+            weights={"m": VersionHistory((DesiredVersion(2, 0.0),))},
         ),
         book=SimpleNamespace(of_service=lambda _service: engines),
     )
@@ -42,11 +42,11 @@
     return daemon
 
 
-def marked(engines):
+def count_cordoned(engines):
     return sum(target.cordoned_at is not None for target in engines)
 
 
-class SetAsideTest(unittest.TestCase):
+class CordonLeaseTest(unittest.TestCase):
     """Callers meet fewer engines than there are.
 
     The giver of orders leaves while new weights are named; the next one may order
@@ -59,45 +59,45 @@
         self.daemon = make_daemon(self.engines)
         self.controller = WeightsController(self.daemon)
 
-    def test_no_engine_is_set_aside_while_nobody_may_order(self):
+    def test_no_engine_is_cordoned_without_a_lease_holder(self):
         self.controller.step()
-        self.assertEqual(marked(self.engines), 0)
+        self.assertEqual(count_cordoned(self.engines), 0)
 
-    def test_engines_are_set_aside_while_another_host_orders(self):
+    def test_engines_are_cordoned_while_another_host_holds_the_lease(self):
         self.controller.on_lease(LeaseEntry("there", "b7"), 1, 0.0)
         self.controller.step()
-        self.assertEqual(marked(self.engines), 2)
+        self.assertEqual(count_cordoned(self.engines), 2)
         self.daemon.clock = 3.0
         self.controller.step()
-        self.assertEqual(marked(self.engines), 0)
+        self.assertEqual(count_cordoned(self.engines), 0)
 
 
-class LoadTimeOfOthersTest(unittest.TestCase):
+class SharedLoadTimeTest(unittest.TestCase):
     """Engines that have loaded stand idle, and callers wait at the others.
 
     Only the giver of orders sees how long a load takes. Without its word the other
     daemons leave an engine alone until its registration says that it has loaded.
     """
 
-    def test_the_record_of_the_lease_says_how_long_a_load_takes(self):
+    def test_the_lease_record_carries_the_load_time(self):
         engines = [make_target(f"i-{number}", weights={"m": 1}) for number in range(5)]
         daemon = make_daemon(engines)
         controller = WeightsController(daemon)
         controller.on_lease(LeaseEntry("there", "b7", load_s=0.4), 1, 0.0)
         controller.step()
-        marks = [item for item in engines if item.cordoned_at is not None]
-        self.assertTrue(marks)
-        for target in marks:
+        cordoned = [item for item in engines if item.cordoned_at is not None]
+        self.assertTrue(cordoned)
+        for target in cordoned:
             self.assertFalse(should_have_loaded(target, DRAIN_S + 0.3))
             self.assertTrue(should_have_loaded(target, DRAIN_S + 0.6))
 
-    def test_a_host_that_restarts_reads_what_it_measured_before(self):
+    def test_a_restarted_host_restores_its_measured_load_time(self):
         # All processes are killed; the same host gives the orders again.
         controller = WeightsController(make_daemon([]))
         controller.on_lease(LeaseEntry("here", "b0", load_s=0.4), 1, 0.0)
         self.assertEqual(controller.load_time.known_s, 0.4)
 
-    def test_the_record_of_a_release_says_so_too(self):
+    def test_the_release_record_carries_the_load_time(self):
         # All hosts are stopped and started in turn. A giver of orders that starts
         # reads the newest record only, which is the release of the former one.
         records = []
@@ -138,18 +138,18 @@
         return OrderOutcome.ACCEPTED
 
 
-class RolloutPlayTest(unittest.TestCase):
+class RolloutSimulationTest(unittest.TestCase):
     """Callers wait while engines that have loaded stand idle.
 
     Five engines load one or two at a time, in 0.3 to 8 s each. The giver of orders
     looks too late, or with a figure of other engines, and the next load begins late.
     """
 
-    def play(self, load_s, demand):
+    def simulate(self, load_s, demand):
         engines = [make_target(f"i-{number}", weights={"m": 1}) for number in range(5)]
         daemon = make_daemon(engines)
         daemon.membership.leads = True
-        daemon.demand = SimpleNamespace(engines=lambda _now: demand)
+        daemon.demand = SimpleNamespace(engines_needed=lambda _now: demand)
         daemon.engine_control = FakeEngines(daemon, load_s)
         daemon.store = SimpleNamespace(append_lease=lambda _entry, at: Success(at))
         controller = WeightsController(daemon)
@@ -167,11 +167,11 @@
         idle = [seen[name] - done[name] for name in sorted(done, key=done.__getitem__)]
         return daemon.clock, idle, controller.load_time.load_s
 
-    def test_loads_of_any_length_are_seen_soon_after_their_end(self):
+    def test_completed_loads_are_detected_promptly(self):
         for load_s in (0.3, 0.42, 0.9, 1.9, 4.0, 8.0):
             for demand in (1.0, 4.5):
                 with self.subTest(load_s=load_s, demand=demand):
-                    lasted, idle, known = self.play(load_s, demand)
+                    lasted, idle, known = self.simulate(load_s, demand)
                     self.assertLess(max(idle), 0.4)
                     self.assertAlmostEqual(known, load_s, delta=0.4)
                     self.assertLess(lasted, 5 * (DRAIN_S + load_s + 0.6))
--- a/tests/test_agaterail/test_gateway/test_weightsplan.py
+++ b/tests/test_agaterail/test_gateway/test_weightsplan.py
@@ -3,17 +3,17 @@
 import unittest
 
 from agaterail.gateway.weightsplan import (
-    LoadPace,
+    RolloutConditions,
     WeightsPlan,
     cordon,
+    find_outdated,
+    max_concurrent_loads,
     may_interrupt,
-    most_loads,
-    outdated,
 )
 from tests.test_agaterail.test_gateway.test_targets import make_target
 
-LIGHT = LoadPace(outdated_for_s=0.0, allowed_s=15.0, demand=1.0, load_s=1.9)
-HEAVY = LoadPace(outdated_for_s=0.0, allowed_s=15.0, demand=5.0, load_s=1.9)
+LIGHT = RolloutConditions(outdated_for_s=0.0, allowed_s=15.0, demand=1.0, load_s=1.9)
+HEAVY = RolloutConditions(outdated_for_s=0.0, allowed_s=15.0, demand=5.0, load_s=1.9)
 
 
 def make_engines(count, version=1):
@@ -27,7 +27,7 @@
 
     def give(self, loads, now, wait_s=1.0):
         for load in loads:
-            self.plan.ordered(load, now, wait_s, counts=True)
+            self.plan.record_order(load, now, wait_s, may_be_loading=True)
 
     def test_two_of_five_load_at_once(self):
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0)
@@ -39,7 +39,7 @@
         loads = self.plan.next_loads(make_engines(30), {"m": 2}, LIGHT, 0.0)
         self.assertEqual(len(loads), 12)
 
-    def test_the_next_follows_when_one_is_done(self):
+    def test_the_next_load_starts_when_one_completes(self):
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0)
         self.give(loads, 0.0)
         loads[0].target.note_weights("m", 2)
@@ -47,7 +47,7 @@
         self.assertEqual(len(following), 1)
         self.assertNotIn(following[0].target, [load.target for load in loads])
 
-    def test_an_order_without_effect_is_looked_at_again(self):
+    def test_an_order_without_effect_is_polled_again(self):
         # The order was lost, or will be carried out late: the engine still
         # counts as loading, and it is asked again instead of a third one.
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0)
@@ -55,42 +55,44 @@
         again = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 1.1)
         self.assertEqual(again, loads)
 
-    def test_a_newer_version_overtakes_the_one_being_loaded(self):
+    def test_a_newer_version_supersedes_the_one_being_loaded(self):
         self.give(self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0), 0.0)
         loads = self.plan.next_loads(self.engines, {"m": 3}, LIGHT, 1.1)
         self.assertEqual({load.version for load in loads}, {3})
 
     def test_leaving_engines_are_not_loaded(self):
         leaving = make_target("i-9", ready=False, weights={"m": 1})
-        self.assertEqual(outdated([leaving], {"m": 2}), [])
+        self.assertEqual(find_outdated([leaving], {"m": 2}), [])
 
-    def test_every_daemon_avoids_the_engines_that_are_ordered(self):
+    def test_every_daemon_cordons_the_engines_that_are_ordered_to_load(self):
         # Callers' requests would be refused by engines that load; all daemons
         # compute the same order, so the ones marked are the ones ordered.
         cordon(self.engines, {"m": 2}, LIGHT, 7.0)
-        marked = {item.instance for item in self.engines if item.cordoned_at is not None}
+        cordoned = {item.instance for item in self.engines if item.cordoned_at is not None}
         loads = self.plan.next_loads(list(reversed(self.engines)), {"m": 2}, LIGHT, 7.0)
-        self.assertEqual(marked, {load.target.instance for load in loads})
+        self.assertEqual(cordoned, {load.target.instance for load in loads})
         for load in loads:
             load.target.note_weights("m", 2)
         cordon(self.engines, {"m": 2}, LIGHT, 8.0)
-        now_marked = {item.instance for item in self.engines if item.cordoned_at is not None}
-        self.assertFalse(marked & now_marked)
+        now_cordoned = {item.instance for item in self.engines if item.cordoned_at is not None}
+        self.assertFalse(cordoned & now_cordoned)
 
-    def test_on_a_heavy_day_one_engine_loads_at_a_time(self):
+    def test_under_heavy_load_one_engine_loads_at_a_time(self):
         # Five engines for five engines' worth of prompts: with two of them
         # loading, callers of the other three wait for seconds.
         self.assertEqual(len(self.plan.next_loads(self.engines, {"m": 2}, HEAVY, 0.0)), 1)
 
-    def test_a_rollout_is_over_in_time_on_a_heavy_day_too(self):
+    def test_a_rollout_meets_its_deadline_under_heavy_load(self):
         # Requests must not begin on older weights after 15 s. Loads of 3 s each
         # are paced so that the last one ends before.
         engines = make_engines(12)
         now, done_at = 0.0, {}
-        while outdated(engines, {"m": 2}) and now < 30.0:
-            pace = LoadPace(outdated_for_s=now, allowed_s=15.0, demand=12.0, load_s=1.9)
-            for load in self.plan.next_loads(engines, {"m": 2}, pace, now):
-                self.plan.ordered(load, now, 10.0, counts=True)
+        while find_outdated(engines, {"m": 2}) and now < 30.0:
+            conditions = RolloutConditions(
+                outdated_for_s=now, allowed_s=15.0, demand=12.0, load_s=1.9
+            )
+            for load in self.plan.next_loads(engines, {"m": 2}, conditions, now):
+                self.plan.record_order(load, now, 10.0, may_be_loading=True)
                 done_at[load.target.instance] = now + 3.0
             now += 0.1
             for engine in engines:
@@ -98,19 +100,19 @@
                     engine.note_weights("m", 2)
         self.assertLess(now, 15.0)
 
-    def test_no_more_than_two_fifths_load_on_a_light_day(self):
-        self.assertEqual(most_loads(10, 10, LIGHT), 4)
+    def test_at_most_two_fifths_load_at_once_under_light_load(self):
+        self.assertEqual(max_concurrent_loads(10, 10, LIGHT), 4)
 
-    def test_some_engines_stay_in_service_whatever_the_hurry(self):
+    def test_some_engines_stay_in_service_when_a_rollout_is_late(self):
         # Versions follow each other faster than engines load: all are overdue.
-        late = LoadPace(outdated_for_s=12.0, allowed_s=15.0, demand=0.5, load_s=1.9)
-        self.assertEqual(most_loads(5, 5, late), 3)
-        self.assertEqual(most_loads(1, 1, late), 1)
+        late = RolloutConditions(outdated_for_s=12.0, allowed_s=15.0, demand=0.5, load_s=1.9)
+        self.assertEqual(max_concurrent_loads(5, 5, late), 3)
+        self.assertEqual(max_concurrent_loads(1, 1, late), 1)
         for second in range(5):
             cordon(self.engines, {"m": 2}, late, 10.0 + second)
         self.assertEqual(sum(e.cordoned_at is not None for e in self.engines), 3)
 
-    def test_an_engine_that_cannot_be_reached_holds_no_place(self):
+    def test_an_unreachable_engine_does_not_count_as_loading(self):
         # Two engines have gone silent; the others are loaded meanwhile.
         for engine in self.engines[:2]:
             engine.note_failure(0.0)
@@ -118,32 +120,32 @@
         self.assertFalse({load.target for load in loads} & set(self.engines[:2]))
 
     def test_an_engine_that_missed_two_versions_comes_first(self):
-        self.engines[3].entry.weights["m"] = 0
-        self.assertIs(outdated(self.engines, {"m": 2})[0].target, self.engines[3])
+        self.engines[3].registration.weights["m"] = 0
+        self.assertIs(find_outdated(self.engines, {"m": 2})[0].target, self.engines[3])
 
-    def test_an_engine_stays_marked_until_it_has_loaded(self):
+    def test_an_engine_stays_cordoned_until_it_has_loaded(self):
         # A burst of callers halves the loads that may run at once. The second
         # engine loads already; unmarked, it would get requests and refuse them.
         cordon(self.engines, {"m": 2}, LIGHT, 10.0)
-        marked = {item.instance for item in self.engines if item.cordoned_at is not None}
+        cordoned = {item.instance for item in self.engines if item.cordoned_at is not None}
         cordon(self.engines, {"m": 2}, HEAVY, 11.0)
         still = {item.instance for item in self.engines if item.cordoned_at is not None}
-        self.assertEqual(still, marked)
+        self.assertEqual(still, cordoned)
 
-    def test_the_next_engines_end_their_runs_while_the_first_load(self):
+    def test_the_next_engines_drain_while_the_first_load(self):
         cordon(self.engines, {"m": 2}, LIGHT, 10.0)
         cordon(self.engines, {"m": 2}, LIGHT, 10.9)
         self.assertEqual(sum(e.cordoned_at is not None for e in self.engines), 2)
         cordon(self.engines, {"m": 2}, LIGHT, 11.1)
         self.assertEqual(sum(e.cordoned_at is not None for e in self.engines), 3)
 
-    def test_on_a_heavy_day_none_is_marked_ahead(self):
+    def test_under_heavy_load_no_engine_is_cordoned_early(self):
         cordon(self.engines, {"m": 2}, HEAVY, 10.0)
         cordon(self.engines, {"m": 2}, HEAVY, 11.6)
         self.assertEqual(sum(e.cordoned_at is not None for e in self.engines), 1)
 
-    def test_runs_get_their_time_to_end(self):
+    def test_running_requests_get_time_to_finish(self):
         cordon(self.engines, {"m": 2}, LIGHT, 10.0)
-        marked = [item for item in self.engines if item.cordoned_at is not None]
-        self.assertFalse(may_interrupt(marked[0], 10.9))
-        self.assertTrue(may_interrupt(marked[0], 11.1))
+        cordoned = [item for item in self.engines if item.cordoned_at is not None]
+        self.assertFalse(may_interrupt(cordoned[0], 10.9))
+        self.assertTrue(may_interrupt(cordoned[0], 11.1))
--- a/tests/test_agaterail/test_platform/test_cacheevents.py
+++ b/tests/test_agaterail/test_platform/test_cacheevents.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from agaterail.gateway.keptparts import CacheChange
+from agaterail.gateway.kvstoreindex import CacheChange
 from agaterail.platform.cacheevents import decode_news
 
 ANSWER = {
