--- a/agaterail/gateway/admission.py
+++ b/agaterail/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request can still be served in time, and when to come back."""
+"""Admission control: whether a request can meet its deadline, and retry hints."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
     from agaterail.gateway.targets import Target
 
-# Callers heed a hint of up to a third of the time that they have left.
+# Callers honor a retry hint of up to a third of their remaining time.
 RETRY_FRACTION = 0.3
 MAX_RETRY_AFTER_S = 1.0
-# A shortage of engines lasts for seconds, whatever part of the prompts is refused: a
-# caller that comes back sooner meets it again.
+# Engine overload lasts for seconds, whatever share of the prompts is refused. A caller
+# that retries sooner is likely to be refused again.
 MAX_OVERLOAD_RETRY_AFTER_S = 5.0
-# Hints are spread over half of their length, so that callers who were refused
-# together do not return together.
+# Fraction of the hint that is randomized, so callers that were refused together do not
+# retry together.
 RETRY_JITTER = 0.5
 
 
 def expected_wait_s(target: Target, engines: Sequence[Target], daemons: float) -> float:
-    """Return the expected wait for the prompts that an engine has before it, in seconds.
+    """Estimate the wait behind the prompts queued at an engine, in seconds.
 
-    Of the other daemons' prompts only their sum can be guessed: each has about
-    as many outstanding as this one, spread over all engines. That this one's
-    own happen to lie at one engine says nothing of theirs; multiplied by the
-    number of daemons, a single long prompt would look like a queue of seconds.
+    Only the total of the other daemons' prompts can be estimated: each daemon is
+    assumed to have as many outstanding as this one, spread over all engines. This
+    daemon's own distribution over the engines says nothing about theirs. If the
+    engine's own queue were multiplied by the number of daemons, a single long
+    prompt would look like a queue of several seconds.
     """
     serving = [item for item in engines if item.registration.ready] or [target]
     mean = sum(item.prefill_tokens for item in serving) / len(serving)
@@ -37,27 +38,27 @@
 
 
 def would_miss_deadline(wait_s: float, left_s: float) -> bool:
-    """Tell whether the first token would come after the caller has left.
+    """Return whether the first token would arrive after the caller's deadline.
 
-    Such a request is refused at once: its caller is told when to come back
-    instead of waiting for nothing, and the prompt that an engine would read in
-    vain is spared to those behind it. It answers loads of several seconds'
-    worth of prompts per engine; up to there lateness is better than a refusal.
+    Such a request is refused immediately with a retry hint instead of waiting in
+    vain, and the requests behind it do not wait for a prefill whose result is
+    discarded. This takes effect only at several seconds' worth of queued prompts
+    per engine; below that, a late answer is better than a refusal.
     """
     return wait_s >= left_s
 
 
 def retry_after_s(left_s: float, number: float, overloaded: bool = False) -> float:
-    """Return when a refused caller should come back, in seconds.
+    """Return the retry hint for a refused caller, in seconds.
 
     Parameters
     ----------
     left_s
-        Seconds that the caller will still wait.
+        Seconds until the caller's deadline.
     number
         Random number from 0 to 1.
     overloaded
-        It was refused because the engines have more prompts than they can read.
+        Whether the request was refused because the engines are overloaded.
     """
     longest = MAX_OVERLOAD_RETRY_AFTER_S if overloaded else MAX_RETRY_AFTER_S
     hint = min(longest, max(0.0, left_s) * RETRY_FRACTION)
--- a/agaterail/gateway/cachedirectives.py
+++ b/agaterail/gateway/cachedirectives.py
@@ -1,4 +1,4 @@
-"""What an engine is told of cached parts with a prompt."""
+"""Cache directives that an engine gets with a prompt."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 @attrs.frozen(kw_only=True)
 class CacheDirectives:
-    """Terms of one attempt.
+    """Cache directives of one attempt.
 
     Attributes
     ----------
     cache_scope
-        Requests with other scopes share no cached parts: it names the weights, and
-        the workspace where that is isolated.
+        Cached parts are shared only within a scope. It names the weights, and the
+        workspace if that is isolated.
     weights_version
-        Weights that must answer; None for any.
+        Version that must answer; None for any.
     priority
-        0 is first, 9 last; None leaves the engine's default.
+        From 0, the highest, to 9; None for the engine's default.
     fetch_from, save_to
-        Kept store that the engine fetches from and saves to; empty for neither.
+        KV store to fetch from and to save to; empty for none.
     """
 
     cache_scope: str = ""
@@ -50,10 +50,10 @@
     stores: Sequence[KvStoreSpec],
     should_save: Callable[[SaveQuery], bool],
 ) -> CacheDirectives:
-    """Return what the chosen engine is told of cached parts.
+    """Return the cache directives for the chosen engine.
 
-    A prompt's deepest shared part names the store that keeps it, so that all daemons
-    look in the same one.
+    The KV store is chosen by a hash of the deepest shared part, so all daemons look for
+    a prompt in the same store.
     """
     if not job.route.prompted:
         return CacheDirectives()
--- a/agaterail/gateway/demand.py
+++ b/agaterail/gateway/demand.py
@@ -1,4 +1,4 @@
-"""How many engines the prompts that callers send would need."""
+"""Estimate of the engines needed for the offered prompts."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 from agaterail.gateway.placement import PREFILL_MS_PER_TOKEN
 
-# Long enough to even out bursts of single callers, short enough to see a flood
-# before the engines' queues have grown past an objective.
+# Long enough to average out bursts of single callers, short enough to detect an
+# overload before the engines' queues exceed an objective.
 WINDOW_S = 5.0
 
 
 class Demand:
-    """Prompt tokens offered to this daemon in a sliding window."""
+    """Prompt tokens offered to this daemon within a sliding window."""
 
     def __init__(self) -> None:
         self.offers: deque[tuple[float, int]] = deque()
         self.tokens = 0
 
     def note(self, tokens: int, now: float) -> None:
-        """Take in a request's prompt."""
+        """Record the prompt of a request."""
         if tokens:
             self.offers.append((now, tokens))
             self.tokens += tokens
         self._expire(now)
 
     def engines_needed(self, now: float) -> float:
-        """Return the engines that would be busy if nothing were cached."""
+        """Return the number of engines that would be busy with a cold cache."""
         self._expire(now)
         return self.tokens * PREFILL_MS_PER_TOKEN / (WINDOW_S * 1e3)
 
--- a/agaterail/gateway/enginecontrol.py
+++ b/agaterail/gateway/enginecontrol.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of engines beside requests: their state, and orders."""
+"""Control calls to engines: reading their state and ordering weight loads."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @attrs.frozen(kw_only=True)
 class EngineReport:
-    """State of an engine as it was some hundred milliseconds ago.
+    """State of an engine, some hundred milliseconds old.
 
     Attributes
     ----------
     loading
-        An order is being carried out.
+        Whether an order is being carried out.
     orders_accepted
-        Orders that the engine accepted since its start.
+        Number of orders accepted since the engine's start.
     """
 
     loading: bool
@@ -34,7 +34,7 @@
 
 
 class InFlightPolicy(enum.Enum):
-    """What becomes of the runs on an engine that changes its weights."""
+    """What happens to the running requests of an engine that changes its weights."""
 
     FINISH_FIRST = "finish_first"
     CONTINUE = "go_on"
@@ -47,7 +47,7 @@
     Attributes
     ----------
     after_orders
-        The order holds only while the engine has accepted so many.
+        Number of accepted orders that the engine must report for this one to apply.
     """
 
     model: str
@@ -59,7 +59,7 @@
 
 
 class OrderOutcome(enum.Enum):
-    """How an engine answered an order."""
+    """Result of an order."""
 
     ACCEPTED = "accepted"
     ALREADY_LOADED = "holds"
@@ -71,7 +71,7 @@
 
 
 class EngineControl(abc.ABC):
-    """Calls to engines; each is sent once."""
+    """Calls to engines, each sent once and never retried."""
 
     @abc.abstractmethod
     def report(self, target: Target) -> Result[EngineReport, str]:
@@ -79,4 +79,4 @@
 
     @abc.abstractmethod
     def order(self, target: Target, order: WeightsOrder) -> OrderOutcome:
-        """Give an order."""
+        """Send an order."""
--- a/agaterail/gateway/kvsavecontroller.py
+++ b/agaterail/gateway/kvsavecontroller.py
@@ -1,4 +1,4 @@
-"""Follows the stores of kept KV cache on a few daemons and answers for them."""
+"""Follow the KV stores on a few daemons and decide which prompts are saved."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
 logger = logs.get_logger("kept")
 
 PATH = b"/kept"
-# Events come in bundles: a read returns with the first one, so a pause between two
-# reads bounds them at four a second and store. A save takes longer than that.
+# Events arrive in batches, and a read returns with the first one. A pause between reads
+# limits them to four per second and store, which is still faster than a save.
 READ_WAIT_S = 0.8
 READ_PAUSE_S = 0.25
 RETRY_PAUSE_S = 1.0
 IDLE_PAUSE_S = 0.5
-# Daemons are a millisecond or two apart; a prompt must not wait for one that hangs.
-# Without an answer the prompt is saved, which costs memory of the store only.
+# Daemons are 1 to 2 ms apart, and a prompt must not wait for an unresponsive one.
+# Without an answer the prompt is saved, which only costs memory in the store.
 ASK_TIMEOUT_S = 0.05
 PEER_BACKOFF_S = 1.0
-# That a prompt need not be saved is not asked again for so long: an eviction is
-# noticed that much later, by one daemon.
+# Time for which the answer that a prompt need not be saved is cached. One daemon
+# notices an eviction up to this much later.
 SKIP_TTL_S = 3.0
 MAX_SKIP_ENTRIES = 4096
 OK = 200
 
 
 class KvSaveController:
-    """Decides for each prompt whether its engine is to save it.
+    """Decides for each prompt whether its engine saves it to a KV store.
 
-    The daemons that read the platform's store for the others follow the kept
-    stores' events too. A prompt's deepest shared part names the one of them that
-    is asked, so that one daemon decides on each part: a store allows few readers
-    of its events, and of a hundred daemons each would see a part too rarely to
-    know by itself that another one has saved it.
+    The daemons that read the platform's store for the others also follow the events of the
+    KV stores. A hash of the prompt's deepest shared part selects the one of them to ask, so
+    that a single daemon decides on each part. A KV store allows only a few readers of its
+    events, and with a hundred daemons each sees a part too rarely to know that another one
+    has saved it.
 
     Parameters
     ----------
@@ -81,7 +81,7 @@
         self.followers: dict[str, gevent.Greenlet] = {}
 
     def should_save(self, save_query: SaveQuery) -> bool:
-        """Tell whether an engine is to save a prompt; asks a peer if need be."""
+        """Return whether an engine should save a prompt, asking a peer if necessary."""
         now = self.now()
         key = (save_query.store, save_query.scope, save_query.deepest)
         if now < self.skip_until.get(key, 0.0):
@@ -94,32 +94,32 @@
         return save
 
     def answer(self, query: bytes) -> bytes:
-        """Answer a peer's question.
+        """Answer a peer's query.
 
         Raises
         ------
         ValueError
-            If it is none.
+            If the query is malformed.
         """
         return json.dumps(self._claim(decode_query(query))).encode()
 
     def follow(self, address: str) -> None:
-        """Make one read of a store's events, if it is on this daemon; then pause."""
+        """Read a store's events once if this daemon is a reader, then pause."""
         if self.own_address not in self.readers():
             gevent.sleep(IDLE_PAUSE_S)
             return
         since = self.next_numbers.get(address, 0)
         found = self.feed.follow(address, since, READ_WAIT_S)
         if not isinstance(found, Success):
-            logger.info("Kept store not read.", store=address, reason=found.failure())
+            logger.info("Cannot read KV store events.", store=address, reason=found.failure())
             gevent.sleep(RETRY_PAUSE_S)
             return
         batch = found.unwrap()
         index = self._index(address)
         if batch.epoch != index.epoch:
-            logger.info("Kept store followed.", store=address, epoch=batch.epoch)
-            # A store that began anew counts its events from the start again; what it
-            # answered to a number of before is read once more.
+            logger.info("Following KV store.", store=address, epoch=batch.epoch)
+            # A restarted store numbers its events from the beginning. Its answer to a
+            # number of the previous epoch is discarded and the events are read again.
             index.reset(batch.epoch)
             self.next_numbers[address] = 0
             if since:
@@ -131,7 +131,7 @@
     def set_stores(
         self, addresses: Collection[str], spawn: Callable[..., gevent.Greenlet]
     ) -> None:
-        """Follow these stores from now on, and drop what is known of all others."""
+        """Follow these stores from now on and drop the state of all others."""
         for address in self.followers.keys() - set(addresses):
             self.followers.pop(address).kill(block=False)
             self.indexes.pop(address, None)
@@ -141,7 +141,7 @@
                 repeat,
                 functools.partial(self.follow, address),
                 logger,
-                "Following a kept store raised.",
+                "Exception while following a KV store.",
                 IDLE_PAUSE_S,
                 store=address,
             )
@@ -175,14 +175,14 @@
         )
         if not isinstance(called, Success):
             reason = called.failure().reason
-            logger.info("Peer did not say what is kept.", peer=decider, reason=reason)
+            logger.info("Peer did not answer save query.", peer=decider, reason=reason)
             return None
         status, body = called.unwrap()
         return body != b"false" if status == OK else None
 
 
 def encode_query(save_query: SaveQuery) -> str:
-    """Return the path and query of a question."""
+    """Return the path and query string of a query."""
     parts = ",".join(save_query.parts)
     return (
         f"{PATH.decode()}?store={quote(save_query.store)}"
@@ -191,19 +191,19 @@
 
 
 def decode_query(query: bytes) -> SaveQuery:
-    """Return the question in a query.
+    """Return the query in a query string.
 
     Raises
     ------
     ValueError
-        If it is none.
+        If the query string is malformed.
     """
     found = parse_qs(query.decode("ascii"), strict_parsing=True, keep_blank_values=True)
     try:
         parts = tuple(part for part in found["parts"][0].split(",") if part)
         save_query = SaveQuery(store=found["store"][0], scope=found["scope"][0], parts=parts)
     except KeyError as error:
-        raise ValueError(f"{error} is missing") from error
+        raise ValueError(f"{error} parameter is missing") from error
     if not parts:
-        raise ValueError("no part is named")
+        raise ValueError("parts parameter is empty")
     return save_query
--- a/agaterail/gateway/kvstoreindex.py
+++ b/agaterail/gateway/kvstoreindex.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts a store of kept KV cache holds, and who is to save one."""
+"""Index of the prompt parts in a KV store, and of the saves in progress."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
     from returns.result import Result
 
-# A part that somebody was told to save is in the store after the prompt has waited,
-# was read and sent: some tenths of a second, seconds on a heavy day. Until then
-# nobody else saves it; a save that failed is made up for after this time.
+# A save completes after the prompt was queued, prefilled and transferred: several
+# tenths of a second, or seconds under heavy load. Until then no other request saves the
+# same part; afterwards a failed save is repeated.
 SAVE_TIMEOUT_S = 2.0
-# A few events in a hundred are lost. A part whose eviction was missed is saved again
-# after this time, about as long as a full store takes to drop what nobody uses.
+# A few percent of the events are lost. A part whose eviction was missed is saved again
+# after this time, about as long as a full store takes to evict an unused part.
 ENTRY_TTL_S = 20.0
-# 325 bytes an entry (tracemalloc, 20,000 entries), so 21 MB a store at most; the oldest
-# are dropped and saved again.
+# One entry takes 325 bytes (tracemalloc, 20,000 entries), so at most 21 MB per store.
+# The oldest entries are dropped, and their parts are saved again.
 MAX_ENTRIES = 65536
 
 
 @attrs.frozen
 class CacheChange:
-    """A part was stored, or not all of it is held any more.
+    """A part was stored or is no longer completely held.
 
     Attributes
     ----------
@@ -44,14 +44,14 @@
 
 @attrs.frozen(kw_only=True)
 class CacheChangeBatch:
-    """Changes of a store's contents since an earlier question.
+    """Changes of a store's contents since an earlier read.
 
     Attributes
     ----------
     epoch
         Differs after each start of the store, which begins empty.
     next_number
-        Number to ask from next.
+        Number from which to read next.
     """
 
     epoch: int
@@ -60,7 +60,7 @@
 
 
 class CacheFeed(abc.ABC):
-    """Where news of a store's contents come from."""
+    """Source of the changes of a store's contents."""
 
     @abc.abstractmethod
     def follow(self, address: str, since: int, wait_s: float) -> Result[CacheChangeBatch, str]:
@@ -69,20 +69,20 @@
 
 @attrs.define
 class _Entry:
-    """What is believed of one part; nothing any more after ``until``."""
+    """Assumed state of one part, valid until ``expires_at``."""
 
     expires_at: float
     confirmed: bool = False
 
 
 class KvStoreIndex:
-    """Contents of one store as its events tell, and the saves that are under way.
+    """Contents of one store according to its events, and the saves in progress.
 
-    Failure: an engine that saves sends the whole prompt, also the part that no
-    other request shares. With each prompt saved, such parts filled the store within
-    9 s and pushed out the shared ones, which were then read again, and the engines'
-    links were busy with saves while other prompts waited for a fetch. So a prompt
-    is saved only if one of its shared parts is missing, and by one request at a time.
+    An engine that saves a prompt transfers all of it, including the part that no other
+    request shares. When every prompt was saved, such parts filled the store within 9 s and
+    evicted the shared ones, which were then prefilled again, and the saves kept the
+    engines' links busy while other prompts waited for a fetch. Therefore a prompt is saved
+    only if one of its shared parts is missing, and by one request at a time.
     """
 
     def __init__(self) -> None:
@@ -90,12 +90,12 @@
         self.epoch: int | None = None
 
     def reset(self, epoch: int) -> None:
-        """Forget what a store held before its latest start."""
+        """Discard what a store held before its latest start."""
         self.entries.clear()
         self.epoch = epoch
 
     def apply(self, changes: Iterable[CacheChange], now: float) -> None:
-        """Take in what changed."""
+        """Apply changes from the store's events."""
         for change in changes:
             key = (change.scope, change.part)
             if change.held:
@@ -104,12 +104,12 @@
                 self.entries.pop(key, None)
 
     def claim_save(self, scope: str, parts: Iterable[str], now: float) -> bool:
-        """Tell whether a request should save its prompt; if so, no other one will."""
+        """Return whether a request should save its prompt; if so, no other one does."""
         missing = [(scope, part) for part in parts if self._is_missing((scope, part), now)]
         for key in missing:
             known = self.entries.get(key)
-            # What was there once and is not known to be gone was saved again now, of
-            # which the store sends no event if it still had it.
+            # A part that was stored and is not known to be evicted is saved again here.
+            # The store sends no event for it if it still holds the part.
             confirmed = known is not None and known.confirmed
             expires_at = now + (ENTRY_TTL_S if confirmed else SAVE_TIMEOUT_S)
             self._put(key, _Entry(expires_at, confirmed))
@@ -142,5 +142,5 @@
 
     @property
     def deepest(self) -> str:
-        """Return the key of the part that decides which daemon is asked."""
+        """Return the key that selects the daemon to ask."""
         return self.parts[-1]
--- a/agaterail/gateway/loadtime.py
+++ b/agaterail/gateway/loadtime.py
@@ -1,36 +1,35 @@
-"""How long an engine takes to load new weights, as the lease's holder observes it."""
+"""Estimate of how long an engine takes to load new weights."""
 
 from __future__ import annotations
 
 import statistics
 from collections import deque
 
-# Until a load was seen it is taken for this part of the time that operators allow
-# for new weights to be everywhere: they allow for several loads one after the other.
+# Before the first load, a load is assumed to take this fraction of the time allowed for
+# a rollout, which is sized for several consecutive loads.
 ASSUMED_FRACTION = 0.125
-# A load is seen to be done with the next report, registration or answer, so a
-# single observation may be late by a heartbeat, and an order that was carried out
-# late by seconds. The median of five bears two of these.
+# The end of a load shows in the next report, registration or answer, so a sample may be
+# too long by a heartbeat, or by seconds if the order was carried out late. A median of
+# five tolerates two such outliers.
 MAX_SAMPLES = 5
-# Shorter and longer ones are faults of the observation.
+# Samples outside of this range are measurement errors.
 MIN_LOAD_S = 0.05
 MAX_LOAD_S = 15.0
 
 
 class LoadTime:
-    """Median of the latest loads; the assumed value before the first.
+    """Median of the latest load times, or an assumed value before the first.
 
-    Deployments differ in it by a multiple: a figure too long leaves loaded engines
-    idle, one too short sends requests to engines that load.
+    Load times vary several-fold between deployments. An estimate that is too long leaves
+    loaded engines idle; one that is too short sends requests to loading engines.
 
-    The lease's holder measures; the others learn its value from the record of the
-    lease, so no daemon needs to see a load itself, and a new holder begins with what
-    the former one knew.
+    The lease holder measures the loads and publishes the estimate in the lease record. The
+    other daemons use it without observing a load, and a new holder starts with it.
 
     Parameters
     ----------
     allowed_s
-        Seconds after which older weights must not begin a request.
+        Seconds after which outdated weights must not start a request.
     """
 
     def __init__(self, allowed_s: float) -> None:
@@ -39,22 +38,22 @@
 
     @property
     def known_s(self) -> float | None:
-        """Return the load time in seconds; None if no load was seen."""
+        """Return the measured load time in seconds; None before the first load."""
         return statistics.median(self.samples) if self.samples else None
 
     @property
     def load_s(self) -> float:
-        """Return the load time to reckon with, in seconds."""
+        """Return the measured or else the assumed load time, in seconds."""
         known = self.known_s
         return self.assumed_s if known is None else known
 
     def note(self, seconds: float) -> None:
-        """Take in the time from an order to the first sight of the new weights."""
+        """Record the time from an order until the new weights were first observed."""
         if MIN_LOAD_S <= seconds <= MAX_LOAD_S:
             self.samples.append(seconds)
 
     def adopt(self, seconds: float) -> None:
-        """Take over what another holder of the lease has measured."""
+        """Replace the samples with the estimate of another lease holder."""
         if MIN_LOAD_S <= seconds <= MAX_LOAD_S:
             self.samples.clear()
             self.samples.append(seconds)
--- a/agaterail/gateway/orderlease.py
+++ b/agaterail/gateway/orderlease.py
@@ -1,4 +1,4 @@
-"""The lease of who gives orders to engines, by conditional appends."""
+"""Lease on ordering engines to load weights, based on conditional appends."""
 
 from __future__ import annotations
 
@@ -6,47 +6,47 @@
 
 from agaterail.gateway.controlstore import LeaseEntry
 
-# Long enough to give a round of orders between two renewals, short enough that
-# after the death of a holder another one orders within half of the time in
-# which new weights must be everywhere.
+# Long enough for a round of orders between two renewals. Short enough that, after a
+# holder has died, another host can order within half of the time allowed for a rollout.
 TERM_S = 2.0
 RENEW_BEFORE_S = 1.0
-# An order must have arrived before the lease ends.
+# An order must arrive before the lease expires.
 ORDER_MARGIN_S = 0.5
-# A renewal reaches the daemons that ask a peer for news up to so much later.
+# Upper bound on the extra delay of a renewal at daemons that follow the log through a
+# peer.
 PROPAGATION_DELAY_S = 0.6
-# A release need not say of a longer time without orders how long it was.
+# Upper bound on the idle time that a release record reports.
 MAX_IDLE_S = 60.0
 
 
 @attrs.define
 class OrderLease:
-    """One host's side of the lease; free of I/O.
+    """State of the lease on one host, without I/O.
 
-    A record stands in the log iff its writer knew the log's end, so of two
-    writers one fails. The offset of the record is the fencing number and only
-    grows; a renewal is one more record. A host that finds another's record
-    waits for its term, counted from when it first saw that record, and then
-    for ``gap_s`` more, so that the orders of two hosts never alternate within
-    that time.
+    An append succeeds only if the writer knew the end of the log, so of two concurrent
+    appends one fails. The offset of a record is its fencing number and only increases; a
+    renewal appends another record. A host that reads another host's record waits for the
+    term, counted from when it first saw the record, and then for another ``gap_s``. This
+    keeps the orders of two hosts at least that far apart.
 
-    Times are of a clock that counts suspension. The holder counts its term
-    from before the append was sent, the others from after it was done.
+    Times are from a clock that also advances during suspension. The holder counts its term
+    from before it sent the append, other hosts from after they read the record.
 
     Attributes
     ----------
     host
-        Own name; survives a restart, whose orders count as the same holder's.
+        Name of this host. It survives a restart, so a restarted host counts as the same
+        holder.
     boot
-        Names this process among those that ran on the host.
+        Identifies this process among all that ran on the host.
     gap_s
-        Time that must lie between the orders of two hosts.
-    rival_free_at
-        Time from which on this host may append after a rival's record.
+        Minimum time between orders of different hosts.
+    acquirable_at
+        Time from which this host may append after another host's record.
     ordered_at
         Time at which the last order was sent.
     fencing
-        Number of the lease held; None without one.
+        Fencing number of the lease; None if this host does not hold it.
     """
 
     host: str
@@ -68,7 +68,7 @@
         return max(0.0, self.held_until - ORDER_MARGIN_S - now)
 
     def is_held(self, now: float) -> bool:
-        """Tell whether some host may give orders now, as far as is known here."""
+        """Return whether some host holds the lease, as far as this host knows."""
         if self.fencing is not None:
             return now < self.held_until
         ends_at = self.acquirable_at - self.gap_s + PROPAGATION_DELAY_S
@@ -79,17 +79,18 @@
         )
 
     def needs_renewal(self, now: float) -> bool:
-        """Tell whether a record should be appended to go on giving orders."""
+        """Return whether a record must be appended to continue sending orders."""
         return self.held_until - now < RENEW_BEFORE_S
 
     def observe(self, newest: LeaseEntry | None, end: int, now: float) -> None:
-        """Take in the newest record of the log and the offset of its end."""
+        """Process the newest record and the end offset of the log."""
         if self.end is not None and end < self.end:
-            # Read before this host's own append, which it does not know of.
+            # Read before this host's own append and therefore stale.
             return
         self.end = end
         if newest is None:
-            # Records expire long after a term; whoever wrote them is out.
+            # Records expire long after a term, so their writers no longer hold the
+            # lease.
             self.other_record = None
             return
         if newest.released_idle_s is not None:
@@ -101,14 +102,15 @@
         self.other_record = None
         sent_at = self.append_sent_at.get(end - 1)
         if newest.boot == self.boot and sent_at is not None:
-            # An append that was never answered has been done after all.
+            # An append whose answer was lost has succeeded after all.
             self._hold(end - 1, sent_at)
 
     def skip_records(self, end: int, now: float) -> None:
-        """Pass over records that expired unread or cannot be read.
+        """Skip records that expired unread or cannot be decoded.
 
-        Somebody may have taken the lease in them. Without the new end every
-        append would name an old one and fail, and no weights be ordered again.
+        Another host may have taken the lease in one of them, so its term is waited out.
+        Without the new end offset, every further append would conflict, and this host could
+        never order a load again.
         """
         self.end = end
         self.acquirable_at = now + TERM_S + self.gap_s
@@ -121,20 +123,20 @@
         return max(0.0, self.acquirable_at - now)
 
     def begin_append(self, at: int, now: float) -> None:
-        """Note the time before a record is sent."""
+        """Record the time before an append is sent."""
         self.append_sent_at = {at: now}
 
     def complete_append(self, offset: int) -> None:
-        """Take in that the record sent for an offset stands there."""
+        """Take the lease after a successful append at an offset."""
         sent_at = self.append_sent_at.get(offset)
         if sent_at is not None:
             self._hold(offset, sent_at)
 
     def release(self, now: float) -> LeaseEntry | None:
-        """Give up a lease in good order; returns the record that says so.
+        """Release the lease and return the record that announces it.
 
-        It tells for how long no order was sent, so that the next host waits
-        for the rest of the gap only.
+        The record says how long no order was sent, so the next host only waits for the rest
+        of the gap.
         """
         if self.fencing is None or self.end is None:
             return None
@@ -144,7 +146,7 @@
         return LeaseEntry(self.host, self.boot, released_idle_s=idle_s)
 
     def mark_lost(self) -> None:
-        """Give the lease up: another one holds a higher number."""
+        """Drop the lease because another host holds a higher fencing number."""
         self.fencing = None
         self.held_until = float("-inf")
 
--- a/agaterail/gateway/placement.py
+++ b/agaterail/gateway/placement.py
@@ -1,4 +1,4 @@
-"""Choose the target of a request by the cost that it would have there."""
+"""Choose the target of a request by its expected cost there."""
 
 from __future__ import annotations
 
@@ -17,38 +17,38 @@
     from agaterail.gateway.targets import Target
     from agaterail.gateway.versionhistory import DesiredVersion, VersionHistory
 
-# Weights that are older than the newest named ones lose worth from this age of
-# the name on; before it an engine with the older ones is as good as any.
+# Engines on outdated weights are ranked lower once the newer version has been desired
+# for this long. Before that, they rank like any other engine.
 DEPRIORITIZE_AFTER_S = 1.5
-# Part of its requests that an engine on older weights keeps. The first engines on the
-# newest weights have empty caches; were all requests sent to them, most would be late,
-# which costs more than older weights.
+# Rendezvous hashing weight of an engine on outdated weights, relative to 1. The first
+# engines on the newest weights have cold caches: with all requests sent to them, most
+# answers would be late, which costs more than answers from older weights.
 OUTDATED_HASH_WEIGHT = 0.6
-# Milliseconds to prefill a token, as long as nothing was measured: within a
-# factor of two for the engines in use, and only the order of costs matters.
+# Assumed prefill time of one token. It is within a factor of two for the engines in
+# use, and placement depends only on the order of the costs.
 PREFILL_MS_PER_TOKEN = 0.016
-# A request may wait so long at an engine before it begins there.
+# Time that a request may wait in an engine's queue before it starts.
 MAX_QUEUE_S = 1.5
-# One request in decode slows each step of the others a little.
+# Each request in decode slows down every step of the others slightly.
 DECODE_SLOWDOWN_MS = 1.0
-# A target in another failure domain is a millisecond away and bytes between
-# domains are paid for; this only breaks ties.
+# A target in another failure domain is about 1 ms away, and traffic between domains is
+# billed. The penalty is small enough to act only as a tie-breaker.
 CROSS_DOMAIN_MS = 2.0
 HASH_BYTES = 6
 
 
 @attrs.frozen(kw_only=True)
 class PlacementRules:
-    """What bounds a choice beside its cost.
+    """Constraints on a choice other than its cost.
 
     Attributes
     ----------
     domain
         Failure domain of this daemon's host.
     version_s
-        Seconds after which older weights must not begin a request.
+        Seconds after which outdated weights must not start a request.
     daemons
-        Daemons that send to the same targets, this one included.
+        Number of daemons that send to the same targets, including this one.
     """
 
     domain: str
@@ -58,16 +58,16 @@
 
 @attrs.frozen(kw_only=True)
 class Choice:
-    """The chosen target and what decided.
+    """A chosen target and the values behind the choice.
 
     Attributes
     ----------
     rank
-        Place of the target in the hash order of the prompt's shared part.
-    home
-        First target of that order; it probably holds the part.
+        Position of the target in the hash order of the prompt's shared part.
+    preferred
+        First target of that order, which most likely has the part cached.
     outdated_by
-        Version that made the target's weights outdated; None if they are not.
+        Version that made the target's weights outdated; None if they are current.
     """
 
     target: Target
@@ -83,7 +83,7 @@
 def rank_by_hash(
     key: str, targets: Sequence[Target], deprioritized: Collection[str] = ()
 ) -> list[Target]:
-    """Return targets by weighted rendezvous hashing, the same order on every daemon."""
+    """Rank targets by weighted rendezvous hashing, in the same order on every daemon."""
 
     def score(target: Target) -> float:
         share = OUTDATED_HASH_WEIGHT if target.instance in deprioritized else 1.0
@@ -93,14 +93,14 @@
 
 
 def choose_by_hash(key: str, names: Sequence[str]) -> str:
-    """Return one of several names for a key, the same on every daemon."""
+    """Choose one of several names for a key, the same one on every daemon."""
     return max(names, key=lambda name: _hash_number(key, name))
 
 
 def choose_least_loaded(
     targets: Sequence[Target], excluded: Collection[str], rules: PlacementRules, now: float
 ) -> Choice | None:
-    """Return the usable target with the least of this daemon's requests."""
+    """Return the usable target with the fewest of this daemon's requests."""
     usable = [
         target
         for target in targets
@@ -124,9 +124,9 @@
 ) -> Choice | None:
     """Return the engine with the lowest expected cost for a prompt.
 
-    Engines are ranked by a hash of the deepest shared part, so that requests
-    with one prefix meet at one engine from every daemon without a word between
-    them. The first holds the prefix; another must read it again, or fetch it.
+    Engines are ranked by a hash of the deepest shared part, so requests with the
+    same prefix go to the same engine from every daemon without coordination. The
+    first engine has the prefix cached; any other must prefill or fetch it.
     """
     usable = [
         target
@@ -135,7 +135,7 @@
         and target.is_usable(now)
         and _weights_allow(target, inbound.model, history, rules, now)
     ]
-    # An engine that is next to load weights refuses or soon will.
+    # A cordoned engine refuses prompts or soon will.
     usable = [item for item in usable if _accepts_prompts(item, now)] or usable
     if not usable:
         return None
@@ -209,7 +209,7 @@
 
 
 def _queue_ms(target: Target, daemons: float) -> float:
-    # The other daemons send about as much as this one does.
+    # Assume that each of the other daemons sends about as much as this one.
     prefill = target.prefill_tokens * PREFILL_MS_PER_TOKEN
     return (prefill + target.in_flight * DECODE_SLOWDOWN_MS) * daemons
 
@@ -223,6 +223,6 @@
 
 
 def _hash_number(key: str, name: str) -> float:
-    """Return a number between 0 and 1, both left out."""
+    """Return a number strictly between 0 and 1."""
     digest = blake2b(f"{key} {name}".encode(), digest_size=HASH_BYTES).digest()
     return (int.from_bytes(digest, "big") + 1) / (2 ** (8 * HASH_BYTES) + 1)
--- a/agaterail/gateway/readiness.py
+++ b/agaterail/gateway/readiness.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's question whether to send new connections."""
+"""Readiness endpoint that tells the load balancer whether to send new connections."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def make_readiness_server(
     address: Address, path: bytes, ready: Callable[[], bool], now: Callable[[], float]
 ) -> Front:
-    """Return a server that answers one path; bound, not started.
+    """Return a bound server for the readiness path that is not started yet.
 
     Raises
     ------
--- a/agaterail/gateway/retrybudget.py
+++ b/agaterail/gateway/retrybudget.py
@@ -1,4 +1,4 @@
-"""Budget of repeated sends that all daemons share without talking at each."""
+"""Retry budget that all daemons share without coordinating each retry."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 import attrs
 
-# The window slides, requests are counted in whole windows and daemons' shares
-# change hands: a share may be used up by two daemons within one window. Half
-# of the allowance is kept back for that.
+# The window slides, requests are counted in whole windows, and shares move between
+# daemons, so two daemons may use the same share within one window. Half of the fixed
+# allowance is reserved for this.
 FIXED_SAFETY_FACTOR = 0.5
-# Of the part that grows with traffic nothing is shared, but a request counted
-# here may be seen at the target in the next window.
+# The proportional allowance is not shared, but a request counted in this window may
+# reach the target in the next one.
 RATIO_SAFETY_FACTOR = 0.8
 
 
 @attrs.frozen(kw_only=True)
 class RetryBudgetLimits:
-    """What all daemons together may send beyond the first time, per service.
+    """Retries that all daemons together may send, per service.
 
     Attributes
     ----------
     ratio
-        Repeats per request in a window.
+        Retries per request in a window.
     extra
-        Repeats in a window beside these.
+        Additional retries in a window.
     window_s
         Length of the sliding window in seconds.
     """
@@ -35,12 +35,11 @@
 
 
 class RetryBudget:
-    """One daemon's part of the budget, by service.
+    """One daemon's part of the retry budget, by service.
 
-    The part that is proportional to requests needs no agreement: each daemon
-    counts its own requests. The fixed part is split by the share that this
-    daemon holds of the fleet's partitions, a number that the platform hands
-    out so that the shares of all holders sum to one.
+    The proportional allowance needs no agreement, because each daemon counts its own
+    requests. The fixed allowance is split by this daemon's share of the fleet's partitions.
+    The platform assigns these so that the shares of all holders sum to one.
     """
 
     def __init__(self, limits: RetryBudgetLimits) -> None:
@@ -50,13 +49,13 @@
         self.repeats: dict[str, deque[float]] = {}
 
     def note_request(self, service: str, now: float) -> None:
-        """Count a caller's request."""
+        """Count a request from a caller."""
         held = self.requests.setdefault(service, deque())
         held.append(now)
         _expire(held, now - self.limits.window_s)
 
     def remaining(self, service: str, now: float) -> float:
-        """Return the repeats that are left in the current window."""
+        """Return the retries that remain in the current window."""
         start = now - self.limits.window_s
         requests = self.requests.setdefault(service, deque())
         repeats = self.repeats.setdefault(service, deque())
@@ -67,7 +66,7 @@
         return proportional + fixed - len(repeats)
 
     def try_consume(self, service: str, now: float) -> bool:
-        """Use one repeat, if there is one."""
+        """Consume one retry and return whether one was available."""
         if self.remaining(service, now) < 1.0:
             return False
         self.repeats[service].append(now)
--- a/agaterail/gateway/shedding.py
+++ b/agaterail/gateway/shedding.py
@@ -1,4 +1,4 @@
-"""Which part of the prompts is refused so that the others are answered in time."""
+"""Load shedding: refuse part of the prompts so that the others are served in time."""
 
 from __future__ import annotations
 
@@ -9,79 +9,82 @@
 
 logger = logs.get_logger("shedding")
 
-# Waits for first tokens are counted in objectives of their routes, so that routes
-# with different objectives are one measure. A shorter target would leave engines idle
-# while callers are refused.
+# Set point of the controller. Waits for first tokens are measured in units of the
+# route's objective, which makes routes with different objectives comparable. A lower
+# set point would leave engines idle while callers are refused.
 TARGET_WAIT = 0.5
-# Hysteresis: waits between the target and this are usual for seconds after a load of
-# new weights, with empty caches, and pass by themselves.
+# Shedding starts at this wait (hysteresis). After a rollout of new weights, with cold
+# caches, waits between the set point and this value are normal for several seconds and
+# recover without shedding.
 START_WAIT = 1.0
-# Part of their time that long streams need, as bad as a wait at the target and as one
-# at the start of refusing. Engines get slower for seconds after a prompt was admitted,
-# so the start lies below 1.
+# Projected duration of a long stream relative to its time limit: the ratios that count
+# as a wait of TARGET_WAIT and of START_WAIT. Engines slow down for seconds after a
+# prompt was admitted, so shedding starts below 1.
 TARGET_TIMEOUT_RATIO = 0.6
 START_TIMEOUT_RATIO = 0.8
-# A longer wait says no more than that the prompt is late.
+# Longer waits are clamped: they say no more than that the prompt is late.
 MAX_WAIT = 2.5
-# Several times within the shortest objective: the wait of prompts that are still
-# waiting shows a flood before their first tokens do.
+# Several control periods fit into the shortest objective: the waits of prompts in
+# flight show an overload before their first tokens do.
 CONTROL_PERIOD_S = 0.1
-# Shorter objectives, or none, are no measure for a prompt.
+# Lower bound on the objective of a route, also used if the route has none.
 MIN_OBJECTIVE_S = 0.1
-# Share of one sample in the moving mean: a flood shows within two periods, and a
-# single prompt with the longest wait does not bring the mean to ``START_WAIT``.
+# Weight of one sample in the moving average. An overload shows within two periods,
+# while a single prompt at MAX_WAIT does not raise the average to START_WAIT.
 SMOOTHING = 0.3
-# Prompts that have waited longer than the mean count before their first token, if
-# they are most of those that wait and at least so many: one engine that hangs must
-# not stop the prompts to all.
+# Prompts in flight that have waited longer than the average count before their first
+# token only if there are at least this many and they are at least half of all prompts
+# in flight. A single stuck engine must not stop traffic to all engines.
 MIN_OVERDUE = 3
-# Change of the chance in one period for a wait off its target, and for a change
-# of the wait.
+# Change of the refusal probability per period, for the deviation of the wait from its
+# set point and for the change of the wait.
 INTEGRAL_GAIN = 0.1
 PROPORTIONAL_GAIN = 0.3
-# Some prompts still go to the engines, else nothing would show that the flood is over.
+# Some prompts are always admitted; otherwise nothing would show that the overload is
+# over.
 MAX_REFUSAL_PROBABILITY = 0.9
-# Periods without a prompt after which nothing is known any more.
+# The state is reset after this many periods without a prompt.
 MAX_IDLE_PERIODS = 20
-# Hysteresis of the log lines that refusals begin and end.
+# Hysteresis of the log messages about the start and end of shedding.
 LOG_ABOVE = 0.2
 LOG_BELOW = 0.01
 
 
 @attrs.define(eq=False)
 class PendingPrompt:
-    """A prompt whose first token has not come."""
+    """A prompt whose first token has not arrived."""
 
     since: float
     objective_s: float
 
     def wait(self, now: float) -> float:
-        """Return the wait so far in objectives."""
+        """Return the wait so far, in objectives."""
         return min(MAX_WAIT, (now - self.since) / self.objective_s)
 
 
 class LoadShedder:
-    """Chance to refuse a prompt of one service.
-
-    Under more prompts than the engines can read every prompt waits, most past its
-    objective, running prompts push cached prefixes out of the engines' memory, and
-    long streams end at their time limit. A proportional and integral controller
-    (RFC 8033) refuses the surplus at random, so no kind, size or workspace is served
-    less often than another. It goes by the worse of two measures: the wait for first
-    tokens, and the time that long streams need at the pace of the running ones. Each
-    daemon goes by its own requests; that needs no word between daemons and no figure
-    of an engine, since a queue at the engines delays the requests of all.
+    """Controller of the probability that a prompt of one service is refused.
+
+    When prompts arrive faster than the engines can prefill them, every prompt waits,
+    most miss their objective, running prompts evict cached prefixes from the engines'
+    memory, and long streams hit their time limit. A proportional-integral controller
+    (RFC 8033) refuses the excess at random, so no kind of request, prompt size or
+    workspace is refused more often than another. Its input is the worse of two
+    measures: the wait for first tokens, and the projected duration of long streams at
+    the current pace. Each daemon uses only its own requests. This needs neither
+    coordination between daemons nor data from the engines, because a queue at the
+    engines delays the requests of all daemons.
 
     Attributes
     ----------
     mean_wait
-        Moving mean of the waits for first tokens, in objectives.
+        Moving average of the waits for first tokens, in objectives.
     timeout_ratio
-        Part of its time that a long stream needs.
+        Projected duration of a long stream relative to its time limit.
     level
-        The worse of the two, as a wait in objectives.
+        The worse of the two measures, expressed as a wait in objectives.
     refusal_probability
-        Chance from 0 to 1 that a prompt is refused.
+        Probability that a prompt is refused.
     """
 
     def __init__(self, service: str, now: float) -> None:
@@ -97,17 +100,17 @@
         self.level = 0.0
 
     def begin(self, objective_s: float, now: float) -> PendingPrompt:
-        """Take in that a prompt goes to an engine."""
+        """Register a prompt that is sent to an engine."""
         waiting = PendingPrompt(now, max(MIN_OBJECTIVE_S, objective_s))
         self.waiting.add(waiting)
         return waiting
 
     def end(self, waiting: PendingPrompt, now: float, first_token: bool = True) -> None:
-        """Take in that a prompt's first token came, or that it is not waited for.
+        """Record a prompt's first token, or the end of its wait without one.
 
-        How long a prompt waited that was refused, broken or left says only that its
-        first token would have come later; a full engine's quick refusals must not
-        pass for quick tokens.
+        If the prompt was refused, broken off or abandoned, its wait is only a lower bound
+        for its first token, so it counts only above the average. Otherwise the quick
+        refusals of a full engine would count as quick first tokens.
         """
         if waiting not in self.waiting:
             return
@@ -127,8 +130,9 @@
             return
         self.stepped_at = now
         if periods > MAX_IDLE_PERIODS:
-            # No prompt came, or this host was frozen: then all that it waits for
-            # looks late, and refusing would turn callers away from idle engines.
+            # Either there was no prompt, or this host was suspended. In the latter case
+            # all prompts in flight look late, and shedding would refuse callers while
+            # the engines are idle.
             self.samples.clear()
             self.waiting.clear()
             self.mean_wait = self.level = self.refusal_probability = 0.0
@@ -168,7 +172,7 @@
             return
         self.refusing = not self.refusing
         logger.info(
-            "Refusing prompts." if self.refusing else "No longer refusing prompts.",
+            "Load shedding started." if self.refusing else "Load shedding stopped.",
             service=self.service,
             chance=round(self.refusal_probability, 2),
             mean_wait=round(self.mean_wait, 2),
@@ -178,7 +182,7 @@
 
 
 def _wait_for_timeout_ratio(ratio: float) -> float:
-    """Return the wait for first tokens that calls for as much refusing."""
+    """Return the wait for first tokens that is equivalent to a timeout ratio."""
     part = (ratio - TARGET_TIMEOUT_RATIO) / (START_TIMEOUT_RATIO - TARGET_TIMEOUT_RATIO)
     wait = TARGET_WAIT + part * (START_WAIT - TARGET_WAIT)
     return min(MAX_WAIT, max(0.0, wait))
--- a/agaterail/gateway/streampace.py
+++ b/agaterail/gateway/streampace.py
@@ -1,4 +1,4 @@
-"""Whether running streams go on fast enough to end within their time."""
+"""Whether running streams progress fast enough to end within their time limit."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 if TYPE_CHECKING:
     from agaterail.gateway.desired import Route
 
-# Ended streams of a route by which the length of the longest is known.
+# Completed streams of a route from which the length of a long one is estimated.
 MAX_LENGTHS = 256
 MIN_LENGTHS = 20
-# The middle of the longest tenth.
+# Middle of the longest tenth.
 LONG_QUANTILE = 0.95
-# Time between events is averaged over so long; several events of each stream.
+# Averaging window for the time between events, with several events per stream.
 WINDOW_S = 1.0
-# Fewer events say little of the engines.
+# Fewer events say too little about the pace of the engines.
 MIN_EVENTS = 10
-# Lengths change slowly; sorting them for each prompt would be wasted.
+# Lengths change slowly, so the quantile is not recomputed for every prompt.
 QUANTILE_REFRESH_S = 1.0
 
 
 @attrs.define
 class _StreamLengths:
-    """Events of the streams of one route that ended."""
+    """Number of events of the completed streams of one route."""
 
     route: Route
     counts: deque[int] = attrs.field(factory=lambda: deque(maxlen=MAX_LENGTHS))
@@ -33,7 +33,7 @@
     computed_at: float = float("-inf")
 
     def long_count(self, now: float) -> int | None:
-        """Return the events of a long stream; None as long as too few have ended."""
+        """Return the events of a long stream; None until enough streams have completed."""
         if now - self.computed_at >= QUANTILE_REFRESH_S and len(self.counts) >= MIN_LENGTHS:
             ordered = sorted(self.counts)
             self.long = ordered[int(LONG_QUANTILE * (len(ordered) - 1))]
@@ -42,12 +42,13 @@
 
 
 class StreamPace:
-    """Pace of one service's running streams against the time that long ones have.
+    """Pace of one service's running streams, compared with their time limits.
 
-    Engines read new prompts between the steps of running answers. Under more prompts
-    than they can read, first tokens stay quick while each step takes several times as
-    long, and the longest answers meet their time limit: their work is lost, and no
-    wait for first tokens shows it.
+    Engines interleave the prefill of new prompts with the decode steps of running
+    requests. When prompts arrive faster than they can be prefilled, first tokens stay
+    fast while each decode step takes several times as long. The longest answers then
+    hit their time limit and their work is lost, which the wait for first tokens does
+    not show.
     """
 
     def __init__(self) -> None:
@@ -57,14 +58,14 @@
         self.events = 0
 
     def note(self, seconds: float, events: int, now: float) -> None:
-        """Take in events of a stream that came some seconds after those before."""
+        """Record events of a stream and the seconds since its previous ones."""
         self.recent.append((now, seconds, events))
         self.seconds += seconds
         self.events += events
         self._expire(now)
 
     def note_end(self, route: Route, events: int) -> None:
-        """Take in how many events a stream had at its end."""
+        """Record the number of events of a completed stream."""
         lengths = self.lengths.get(route.name)
         if lengths is None or lengths.route is not route:
             counts = deque(maxlen=MAX_LENGTHS) if lengths is None else lengths.counts
@@ -72,7 +73,10 @@
         lengths.counts.append(events)
 
     def timeout_ratio(self, now: float) -> float:
-        """Return the part of its time that a long stream needs; 0 if it is not known."""
+        """Return the projected duration of a long stream relative to its time limit.
+
+        The result is the highest ratio of all routes, or 0 if there is too little data.
+        """
         self._expire(now)
         if self.events < MIN_EVENTS:
             return 0.0
--- a/agaterail/gateway/targets.py
+++ b/agaterail/gateway/targets.py
@@ -1,4 +1,4 @@
-"""Targets that registered themselves, and what this daemon saw of each."""
+"""Registered targets and this daemon's observations of each."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A target that failed is left alone for this long, doubled at each further
-# failure in a row. 250 ms is half of the shortest objective of a stream: one
-# request tries it again soon, the others go elsewhere meanwhile.
+# Exponential backoff of a failing target. 250 ms is half of the shortest objective of a
+# stream: one request soon retries the target, and the others use different ones
+# meanwhile.
 INITIAL_BACKOFF_S = 0.25
 MAX_BACKOFF_S = 4.0
-# A target that refused because it is full or changes its weights recovers
-# within tens of milliseconds to 2 s; its pause grows from a shorter start.
+# A target that refuses requests because it is full or changing its weights recovers
+# within tens of milliseconds to 2 s, so its backoff starts shorter.
 INITIAL_REFUSAL_BACKOFF_S = 0.1
 MAX_REFUSAL_BACKOFF_S = 0.8
 
 
 @attrs.frozen(kw_only=True)
 class Registration:
-    """What a target says of itself in the platform's store.
+    """A target's own registration in the platform's store.
 
     Attributes
     ----------
     born
-        Unix millisecond of its start; a restart under the same id has another.
+        Start time as a Unix timestamp in milliseconds. It differs after a restart under
+        the same id.
     weights
-        Weights version of each model that it serves.
+        Weights version of each model that the target serves.
     """
 
     instance: str
@@ -44,22 +45,22 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Target:
-    """One target with this daemon's own observations.
+    """A target with this daemon's own observations.
 
     Attributes
     ----------
     in_flight
-        Requests of this daemon that are at the target now.
+        This daemon's requests in flight at the target.
     prefill_tokens
-        Prompt tokens sent there whose first event has not come yet.
+        Prompt tokens sent to the target whose first event has not arrived.
     cordoned_at
-        Time since which it is next to load weights; None if it is not.
+        Time at which it was cordoned to load weights; None if it is not cordoned.
     expected_loaded_at
         Time at which a cordoned target should have loaded.
     heard_at
-        Time at which bytes last came from it on any connection.
+        Time at which bytes last arrived from it on any connection.
     lapsed_at
-        Time at which its registration vanished while the store was away.
+        Time at which its registration vanished during an outage of the store.
     """
 
     registration: Registration
@@ -77,16 +78,16 @@
 
     @property
     def instance(self) -> str:
-        """Return the id."""
+        """Return the instance id."""
         return self.registration.instance
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address at which it listens."""
         return self.registration.address
 
     def weights_of(self, model: str) -> int | None:
-        """Return the newest weights version known of a model."""
+        """Return the newest known weights version of a model."""
         known = self.registration.weights.get(model)
         seen = self.versions_seen.get(model)
         if known is None:
@@ -94,31 +95,31 @@
         return known if seen is None else max(known, seen)
 
     def note_weights(self, model: str, version: int) -> None:
-        """Take in the weights that an answer named, ahead of the registration."""
+        """Record the weights named in an answer, which may be ahead of the registration."""
         if version > self.versions_seen.get(model, 0):
             self.versions_seen[model] = version
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether a new request may be sent there."""
+        """Return whether a new request may be sent to the target."""
         return self.registration.ready and not self.gone and now >= self.backoff_until
 
     def is_failing(self, now: float) -> bool:
-        """Tell whether it is left alone because it failed."""
+        """Return whether the target is in backoff after a failure."""
         return self.failures > 0 and now < self.backoff_until
 
     def note_success(self) -> None:
-        """Forget earlier failures."""
+        """Reset the backoff."""
         self.failures = self.refusals = 0
         self.backoff_until = 0.0
 
     def note_failure(self, now: float) -> None:
-        """Leave the target alone for a while, longer after each failure in a row."""
+        """Start a backoff that doubles with each consecutive failure."""
         self.failures += 1
         backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (self.failures - 1))
         self.backoff_until = max(self.backoff_until, now + backoff_s)
 
     def note_refusal(self, now: float) -> None:
-        """Leave a full or loading target alone for a moment."""
+        """Start the shorter backoff of a full or loading target."""
         self.refusals += 1
         backoff_s = INITIAL_REFUSAL_BACKOFF_S * 2 ** (self.refusals - 1)
         self.backoff_until = max(
@@ -129,10 +130,10 @@
 class TargetRegistry:
     """All registered targets, by id.
 
-    Registrations also lapse while the platform's store is away although the
-    targets live; these are back soon after the store's return. So what vanishes
-    in an outage, or is found to have vanished right after it, is kept for
-    ``lapse_grace_s`` after the return and only then taken as gone.
+    Registrations also lapse while the platform's store is down although the targets are
+    alive; these reappear soon after the store recovers. Targets whose registration vanishes
+    during an outage, or is found missing right after it, are therefore kept for
+    ``lapse_grace_s`` after the recovery and dropped only then.
     """
 
     def __init__(self, lapse_grace_s: float) -> None:
@@ -143,7 +144,7 @@
         self.on_gone: Callable[[Target], None] = lambda _target: None
 
     def put(self, registration: Registration) -> Target:
-        """Take in a registration; a new start forgets what was seen of the old."""
+        """Add or update a registration; a restart discards earlier observations."""
         known = self.targets.get(registration.instance)
         if known is not None and known.registration.born == registration.born:
             known.registration = registration
@@ -158,7 +159,7 @@
         return target
 
     def remove(self, instance: str, now: float) -> None:
-        """Take in that a registration vanished."""
+        """Process the removal of a registration."""
         target = self.targets.get(instance)
         if target is None:
             return
@@ -169,11 +170,11 @@
         self._rebuild_index()
 
     def store_returned(self, now: float) -> None:
-        """Note that the store answers again after an outage."""
+        """Record that the store answers again after an outage."""
         self.returned_at = now
 
     def expire(self, now: float) -> list[Target]:
-        """Drop the lapsed targets whose grace has passed; returns them."""
+        """Drop lapsed targets after the grace period and return them."""
         if self._in_grace(now):
             return []
         gone = [item for item in self.targets.values() if item.lapsed_at is not None]
--- a/agaterail/gateway/versionhistory.py
+++ b/agaterail/gateway/versionhistory.py
@@ -1,4 +1,4 @@
-"""Weights versions that operators named, and for how long each has been named."""
+"""Desired weights versions of a model, and how long each has been desired."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Versions named within the time that counts; older ones change nothing.
+# Enough for all versions within the time limit for outdated weights; older ones have no
+# effect.
 MAX_VERSIONS = 16
 
 
 @attrs.frozen
 class DesiredVersion:
-    """A weights version with the time since which it counts as named.
+    """A weights version and the time from which its age is counted.
 
     Attributes
     ----------
     known_at
-        Time by this process's clock; never later than the naming.
+        Time on this process's clock, no later than when operators set the version.
     assumed
-        This process found the version at its start and did not see it named.
+        Whether the version was already set when this process started.
     """
 
     version: int
@@ -32,7 +33,7 @@
 
 @attrs.frozen
 class VersionAge:
-    """For how many seconds a version has been named at most."""
+    """Upper bound on the time for which a version has been desired."""
 
     version: int
     age_s: float
@@ -40,14 +41,15 @@
 
 @attrs.frozen
 class VersionAgeRecord:
-    """Ages of the named versions, as one process knew them when it wrote them down.
+    """Ages of the desired versions as known to one process when it wrote the record.
 
     Attributes
     ----------
     written_at
         Time of day in Unix seconds.
     reading_age_s
-        Age of the writer's reading of the names; later ones are not among them.
+        Age of the writer's last read of the versions. Versions that were set after
+        that read are missing from the record.
     ages
         Versions of each model, the oldest first.
     """
@@ -59,32 +61,32 @@
 
 @attrs.frozen
 class VersionHistory:
-    """Versions that were named of a model, the oldest first.
+    """Versions of a model that were desired, oldest first.
 
-    Each version counts from its own naming: an engine that missed two versions
-    is as late as the first of them says, not the second.
+    Each version has its own age. An engine that missed two versions has been outdated
+    since the first of them was set, not the second.
     """
 
     versions: tuple[DesiredVersion, ...]
 
     @property
     def newest(self) -> int:
-        """Return the version that engines should have."""
+        """Return the currently desired version."""
         return self.versions[-1].version
 
     def first_after(self, held: int) -> DesiredVersion | None:
-        """Return the version that made another one outdated; None if none did."""
+        """Return the version that made another one outdated; None if it is current."""
         return next((item for item in self.versions if item.version > held), None)
 
     def outdated_for_s(self, held: int, now: float) -> float | None:
-        """Return for how long a version has been outdated; None if it is not."""
+        """Return how long a version has been outdated; None if it is current."""
         item = self.first_after(held)
         return None if item is None else now - item.known_at
 
     def with_version(
         self, version: int, known_at: float, assumed: bool = False
     ) -> VersionHistory:
-        """Return these with one more version."""
+        """Return a copy with a new version."""
         kept = self.versions[-(MAX_VERSIONS - 1) :]
         return VersionHistory((*kept, DesiredVersion(version, known_at, assumed)))
 
@@ -95,17 +97,17 @@
     def with_restored_ages(
         self, ages: tuple[VersionAge, ...], since: float, read_at: float
     ) -> VersionHistory:
-        """Return these with what a record says of versions that were found at the start.
+        """Return a copy with ages from a record for versions that predate this process.
 
-        A version that the record lacks was named after its writer's reading. A later
-        bound replaces an earlier one only, as both are true.
+        A version missing from the record was set after its writer's last read. A bound is
+        replaced only by a later one, since both are valid.
 
         Parameters
         ----------
         since
-            Time by the own clock that is no later than the writing of the record.
+            Time on the local clock, no later than when the record was written.
         read_at
-            Time that is no later than the reading of its writer.
+            Time on the local clock, no later than the writer's last read.
         """
         found = self.versions[0]
         if not found.assumed:
@@ -127,6 +129,6 @@
 def record_ages(
     weights: Mapping[str, VersionHistory], now: float, time_of_day: float, reading_age_s: float
 ) -> VersionAgeRecord:
-    """Return the ages of all named versions, for processes that start later."""
+    """Return the ages of all versions, for processes that start later."""
     ages = {model: item.ages(now) for model, item in weights.items()}
     return VersionAgeRecord(time_of_day, reading_age_s, ages)
--- a/agaterail/gateway/weightscontroller.py
+++ b/agaterail/gateway/weightscontroller.py
@@ -1,4 +1,4 @@
-"""Brings the engines to the weights that operators named."""
+"""Controller that brings the engines to the desired weights versions."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 @attrs.frozen
 class AcceptedOrder:
-    """An order that an engine took, until its effect is seen."""
+    """An order that an engine accepted and whose effect has not been observed yet."""
 
     load: WantedLoad
     sent_at: float
 
 
 class WeightsController:
-    """Gives orders while this daemon leads the fleet and holds the lease."""
+    """Orders engines to load weights while this daemon leads the fleet and holds the lease."""
 
     period_s = PERIOD_S
 
@@ -64,7 +64,7 @@
         self.time_of_day = time.time
 
     def step(self) -> None:
-        """Give the orders that are due, if it is on this daemon to give them."""
+        """Send the orders that are due, if this daemon is the leader or lease holder."""
         now = self.daemon.now()
         engines = self._engines()
         desired_versions = {
@@ -73,8 +73,8 @@
         self._measure_loads(now)
         wanted = find_outdated(engines, desired_versions)
         conditions = self._conditions(wanted, now)
-        # While nobody may give orders, an engine that is set aside for one is only
-        # missing.
+        # While no host holds the lease, nobody can order a load, and a cordon would
+        # only reduce capacity.
         if self.lease.is_held(now):
             cordon(engines, desired_versions, conditions, now)
         else:
@@ -124,7 +124,7 @@
     def on_lease(
         self, newest: LeaseEntry | None, end: int, now: float, written_after: float = NEVER
     ) -> None:
-        """Take in the newest record that a read of the lease's log brought.
+        """Process the newest record from a read of the lease's log.
 
         Parameters
         ----------
@@ -145,19 +145,19 @@
         self.lease_read = True
 
     def release(self) -> None:
-        """Give the lease up, so that another host orders soon."""
+        """Release the lease so that another host can take over quickly."""
         now = self.daemon.now()
         at = self.lease.end
         entry = self.lease.release(now)
         if entry is None or at is None:
             return
-        # The next holder may have started since: this record is all it reads.
+        # The next holder may have started only now, and this record is all it reads.
         entry = self._with_observations(entry, now)
         answer = self.daemon.store.append_lease(entry, at)
         logger.info("Lease released.", at=at, done=isinstance(answer, Success))
 
     def _acquire(self, now: float) -> bool:
-        """Append a record for the lease; tells whether it is held now."""
+        """Append a lease record and return whether the lease is held now."""
         if now < self.store_retry_at:
             return False
         if not self.lease_read:
@@ -189,7 +189,7 @@
         return False
 
     def _with_observations(self, entry: LeaseEntry, now: float) -> LeaseEntry:
-        """Return a record with what a process that starts later cannot know otherwise."""
+        """Return a record with the load time and ages, which a later start cannot observe."""
         naming = record_ages(
             self.daemon.state.weights,
             now,
@@ -210,7 +210,9 @@
         now = self.daemon.now()
         if not isinstance(found, Success):
             plan.record_order(load, now, UNANSWERED_POLL_S, may_be_loading=False)
-            logger.info("No report.", target=target.instance, reason=found.failure())
+            logger.info(
+                "Cannot read engine report.", target=target.instance, reason=found.failure()
+            )
             return
         report = found.unwrap()
         held = report.weights.get(load.model)
@@ -250,7 +252,7 @@
     ) -> None:
         now = self.daemon.now()
         logger.info(
-            "Order given.",
+            "Weights order sent.",
             target=load.target.instance,
             model=load.model,
             version=load.version,
--- a/agaterail/gateway/weightsplan.py
+++ b/agaterail/gateway/weightsplan.py
@@ -1,4 +1,4 @@
-"""Which engines are to load new weights next."""
+"""Select the engines that load new weights next."""
 
 from __future__ import annotations
 
@@ -13,48 +13,50 @@
 
     from agaterail.gateway.targets import Target
 
-# Loads at once, over all daemons: more of them slow each other down, and what
-# is loading serves nobody. Two of five engines leave three to serve.
+# Fraction of the engines that may load at once, over all daemons. Concurrent loads slow
+# each other down, and a loading engine serves nothing. With five engines, three remain
+# in service.
 MAX_LOADING_FRACTION = 0.4
-# Most engines that may be out for loads, whatever the hurry: versions that follow each
-# other soon would have all of them loading.
+# Hard limit on the fraction of engines that are out of service for loads, however late
+# the rollout is. Without it, versions in quick succession would take all engines out.
 MAX_CORDONED_FRACTION = 0.6
-# All engines should be done after this part of the time that is allowed, so
-# that one failed order can be given again.
+# A rollout should complete within this fraction of the allowed time, which leaves time
+# to repeat one failed order.
 ROLLOUT_DEADLINE_FRACTION = 0.85
-# An engine that loads is asked how it stands first after this part of the time that
-# a load takes, and then so often: its registration says it too, but only with its
-# next heartbeat, and until then a loaded engine would stand idle.
+# A loading engine is first polled after this fraction of the expected load time and
+# then at POLL_INTERVAL_S. Its registration reports the new weights too, but only with
+# the next heartbeat, and a loaded engine would stay idle until then.
 FIRST_POLL_FRACTION = 0.9
 POLL_INTERVAL_S = 0.15
-# Daemons learn of a mark and of an order within so much of each other.
+# Upper bound on the delay between daemons in seeing a cordon or an order.
 PROPAGATION_DELAY_S = 0.1
-# An engine that should have loaded is tried by requests. After so many refusals it
-# is left alone until its registration says that it has loaded: the order may have
-# been lost, and each refusal is a repeat that all daemons' budget pays for.
+# Requests try an engine that should have loaded. After this many refusals it is skipped
+# until its registration reports the new weights: the order may have been lost, and
+# every refusal causes a retry from the budget that all daemons share.
 MAX_REFUSED_TRIES = 3
-# An order without an answer may have been taken or not, or be taken later.
+# An order without an answer may have been accepted, rejected, or still be accepted
+# later.
 UNANSWERED_POLL_S = 0.6
 REFUSED_POLL_S = 0.4
-# An engine that is next to load gets nothing new, so that its runs end soon and
-# the load begins at once. Should nobody order it, because the lease's holder
-# has died, it takes part again after this time.
+# A cordoned engine gets no new requests, so its running requests finish soon and the
+# load can start at once. If nobody orders the load, for example because the lease
+# holder has died, the engine returns to service after this time.
 MAX_CORDON_S = 6.0
 HASH_BYTES = 8
-# Runs on an engine that is next to load get so long to end; what is left goes on
-# under the new weights. Waiting for the longest would keep the engine from everybody
-# else, and all others on older weights.
+# Requests that are running on a cordoned engine get this long to finish; the rest
+# continue on the new weights. Waiting for the longest one would keep the engine out of
+# service and delay the rollout to the other engines.
 DRAIN_S = 1.0
 
 
 @attrs.define
 class PendingOrder:
-    """An order whose effect was not seen yet.
+    """An order whose effect has not been observed yet.
 
     Attributes
     ----------
-    counts
-        Whether the engine may be loading, for all that is known.
+    may_be_loading
+        Whether the engine may be loading, as far as is known.
     """
 
     target: Target
@@ -66,7 +68,7 @@
 
 @attrs.frozen
 class WantedLoad:
-    """An engine that should load a version of a model in place of the one held."""
+    """An engine that should replace the version it holds of a model."""
 
     target: Target
     model: str
@@ -76,19 +78,19 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutConditions:
-    """What decides how many engines load at once.
+    """Conditions that determine how many engines load at once.
 
     Attributes
     ----------
     outdated_for_s
-        Seconds for which the longest outdated engine has been so.
+        Longest time for which any engine has been outdated, in seconds.
     allowed_s
-        Seconds after which older weights must not begin a request.
+        Seconds after which outdated weights must not start a request.
     demand
-        Engines that the offered prompts need when nothing of them is cached,
-        as right after a load.
+        Engines needed for the offered prompts if nothing is cached, as right
+        after a load.
     load_s
-        Seconds that an engine needs to load.
+        Expected time of a load, in seconds.
     """
 
     outdated_for_s: float
@@ -98,7 +100,7 @@
 
     @property
     def unavailable_s(self) -> float:
-        """Return the seconds for which an engine is out for a load."""
+        """Return the seconds for which a load takes an engine out of service."""
         return DRAIN_S + self.load_s + PROPAGATION_DELAY_S
 
 
@@ -107,9 +109,9 @@
 ) -> int:
     """Return how many engines may load at once.
 
-    With all that are to spare a rollout is over soonest. Under load there are none;
-    then as few load as are needed to be done in time, since a request on older
-    weights is worth more than a late one.
+    Loading on all spare engines completes a rollout soonest. Under full load there
+    are no spare engines; then only as many load as are needed to meet the deadline,
+    because an answer from outdated weights is better than a late one.
     """
     spare = min(int(serving - conditions.demand), round(serving * MAX_LOADING_FRACTION))
     left_s = max(
@@ -121,10 +123,10 @@
 
 
 def first_poll_s(known_load_s: float | None) -> float:
-    """Return after how many seconds an engine that loads is first asked how it stands.
+    """Return the seconds after which a loading engine is first polled.
 
-    As long as no load was seen, the engine is asked as often as later on, since the
-    first load is what the others are reckoned by.
+    Before the first load was observed, this is the regular poll interval, because the
+    first load provides the estimate for all others.
     """
     if known_load_s is None:
         return POLL_INTERVAL_S
@@ -132,22 +134,22 @@
 
 
 def max_cordoned(serving: int) -> int:
-    """Return how many engines may be out for loads, those that wait included."""
+    """Return how many engines may be out of service for loads, drains included."""
     return max(1, int(serving * MAX_CORDONED_FRACTION))
 
 
 def may_interrupt(target: Target, now: float) -> bool:
-    """Tell whether the runs on an engine have had their time to end."""
+    """Return whether the drain time of an engine has elapsed."""
     return target.cordoned_at is not None and now - target.cordoned_at >= DRAIN_S
 
 
 def find_outdated(
     engines: Iterable[Target], desired_versions: Mapping[str, int]
 ) -> list[WantedLoad]:
-    """Return the ready engines whose weights are older than the named ones.
+    """Return the ready engines whose weights are older than the desired version.
 
-    Those that missed the most come first. The order is the same on every
-    daemon, without a word between them.
+    Engines that hold the oldest version come first. The order is the same on every
+    daemon without coordination.
     """
     wanted = []
     for target in engines:
@@ -166,9 +168,9 @@
     conditions: RolloutConditions,
     now: float,
 ) -> None:
-    """Mark the engines that are next to load.
+    """Cordon the engines that load next.
 
-    Every daemon marks the same ones, so none sends them requests that they
+    Every daemon selects the same engines, so none sends them requests that they
     would refuse.
     """
     wanted = _reachable(find_outdated(engines, desired_versions), now)
@@ -176,16 +178,16 @@
     for target in engines:
         if target.instance not in outdated_instances:
             target.cordoned_at = None
-    # Whatever is marked stays so until it has loaded: it may be loading, though
-    # the number that may load at once has become smaller meanwhile.
+    # An engine stays cordoned until it has loaded, even if the number of concurrent
+    # loads has shrunk meanwhile: it may already be loading.
     cordoned = [load.target for load in wanted if is_cordoned(load.target, now)]
     for target in cordoned:
         target.expected_loaded_at = (target.cordoned_at or now) + conditions.unavailable_s
     serving = _count_serving(engines, now)
     most = max_concurrent_loads(serving, len(wanted), conditions)
     if cordoned and all(may_interrupt(target, now) for target in cordoned):
-        # These load by now. The next ones can end their runs meanwhile, if there
-        # are engines to spare for that too.
+        # All cordoned engines are loading by now. The next ones can drain meanwhile if
+        # there are enough spare engines.
         ahead = min(2 * most, int(serving - conditions.demand), max_cordoned(serving))
         most = max(most, ahead)
     uncordoned = (load.target for load in wanted if load.target.cordoned_at is None)
@@ -196,21 +198,21 @@
 
 
 def uncordon_all(engines: Iterable[Target]) -> None:
-    """Take the marks off all engines, as nobody can order them to load."""
+    """Uncordon all engines, for example while nobody can order them to load."""
     for target in engines:
         target.cordoned_at = None
 
 
 def is_cordoned(target: Target, now: float) -> bool:
-    """Tell whether an engine is next to load and soon will."""
+    """Return whether an engine is cordoned and the cordon has not expired."""
     return target.cordoned_at is not None and now - target.cordoned_at < MAX_CORDON_S
 
 
 def should_have_loaded(target: Target, now: float) -> bool:
-    """Tell whether an engine that was next to load is worth a try with the new weights.
+    """Return whether a cordoned engine is worth trying with the new weights.
 
-    An engine refuses what it gets while it loads and what names other weights than
-    it has, so a try that comes too soon costs milliseconds.
+    While it loads, an engine refuses all requests, and later those that ask for weights
+    it does not have. A try that comes too early therefore costs only milliseconds.
     """
     if target.cordoned_at is None or target.refusals >= MAX_REFUSED_TRIES:
         return False
@@ -218,7 +220,7 @@
 
 
 class WeightsPlan:
-    """Orders given and the next ones to give."""
+    """Pending orders and the selection of the next ones."""
 
     def __init__(self) -> None:
         self.pending: dict[str, PendingOrder] = {}
@@ -230,14 +232,14 @@
         conditions: RolloutConditions,
         now: float,
     ) -> list[WantedLoad]:
-        """Return the engines to be ordered now."""
+        """Return the loads to order now."""
         wanted = find_outdated(engines, desired_versions)
         self._drop_completed(wanted)
         wanted = _reachable(wanted, now)
         most = max_concurrent_loads(_count_serving(engines, now), len(wanted), conditions)
         free = most - sum(order.may_be_loading for order in self.pending.values())
         due = [load for load in wanted if self._is_due(load, now)]
-        # An engine already counted as loading takes no place of its own.
+        # An engine that already counts as loading needs no additional slot.
         repeated = [load for load in due if self._may_be_loading(load)]
         new = [load for load in due if not self._may_be_loading(load)]
         return repeated + new[: max(0, free)]
@@ -245,13 +247,13 @@
     def record_order(
         self, load: WantedLoad, now: float, wait_s: float, may_be_loading: bool
     ) -> None:
-        """Note an order and when to look again whether it was done."""
+        """Record an order and when to poll the engine for its effect."""
         self.pending[load.target.instance] = PendingOrder(
             load.target, load.model, load.version, now + wait_s, may_be_loading
         )
 
     def clear(self) -> None:
-        """Drop what is known, as when another host gives the orders."""
+        """Discard all pending orders, for example when the lease changes hands."""
         self.pending.clear()
 
     def _drop_completed(self, wanted: list[WantedLoad]) -> None:
@@ -270,7 +272,7 @@
 
 
 def _reachable(wanted: list[WantedLoad], now: float) -> list[WantedLoad]:
-    """Put off the engines that fail at present; these neither serve nor load."""
+    """Leave out the engines that are failing, which neither serve nor load."""
     return [load for load in wanted if not load.target.is_failing(now)]
 
 
