--- a/tests/test_agaterail/test_gateway/test_admission.py
+++ b/tests/test_agaterail/test_gateway/test_admission.py
@@ -12,16 +12,16 @@
         self.engines = [make_target(f"i-{n}") for n in range(4)]
 
     def test_one_long_prompt_does_not_count_as_a_queue(self):
-        # A caller's prompt of 40,000 tokens is being read. The next caller, with
-        # 5 s of time, must not be refused for what only this daemon has sent.
+        # An engine is prefilling a prompt of 40,000 tokens that this daemon sent. The
+        # next caller, with 5 s until its deadline, must not be refused because of it.
         self.engines[0].prefill_tokens = 40000
         wait_s = expected_wait_s(self.engines[0], self.engines, daemons=6.0)
         self.assertLess(wait_s, 2.0)
         self.assertFalse(would_miss_deadline(wait_s, 5.0))
 
     def test_a_prompt_that_would_miss_its_deadline_is_refused(self):
-        # All engines have seconds of prompts before them, as every daemon sees
-        # at its own. A caller would wait for its whole time and get nothing.
+        # Every daemon has seconds' worth of prompts queued at all engines. An admitted
+        # caller would wait until its deadline and get no answer.
         for engine in self.engines:
             engine.prefill_tokens = 60000
         wait_s = expected_wait_s(self.engines[0], self.engines, daemons=6.0)
@@ -29,8 +29,8 @@
         self.assertFalse(would_miss_deadline(wait_s, 15.0))
 
     def test_retry_hints_are_jittered_and_within_the_deadline(self):
-        # Callers that were refused together come back spread, and none is told
-        # to come back later than it will wait.
+        # Callers that were refused together must not retry together, and no hint may
+        # exceed a caller's remaining time.
         hints = [retry_after_s(0.6, number / 10) for number in range(10)]
         self.assertLessEqual(max(hints), 0.2)
         self.assertEqual(len(set(hints)), 10)
@@ -38,17 +38,17 @@
         self.assertEqual(retry_after_s(-1.0, 0.5), 0.0)
 
     def test_overload_hints_are_longer(self):
-        # Callers that come back after a second meet the same shortage and are
-        # refused again.
+        # Callers that retry after one second meet the same overload and are refused
+        # again.
         self.assertEqual(retry_after_s(15.0, 0.0, overloaded=True), 4.5)
         self.assertEqual(retry_after_s(15.0, 0.0), 1.0)
         self.assertLessEqual(retry_after_s(0.6, 0.0, overloaded=True), 0.2)
 
     def test_most_callers_refused_under_overload_return_after_it(self):
-        # Engines are lost for 3 to 8 s and a tenth to nine tenths of the prompts are
-        # refused. Callers come back once, when they were told to; whoever meets the
-        # shortage again with bad luck is lost. With the hint in proportion to what
-        # is refused 0.268 of those who were refused were lost, now 0.175.
+        # Engines are lost for 3 to 8 s, and 10% to 90% of the prompts are refused. Each
+        # caller retries once at the hinted time and fails if it is refused again. With
+        # hints in proportion to the refusal rate, 0.268 of the refused callers failed;
+        # with the fixed maximum, 0.175.
         rng = random.Random(5)
         lost = refused = 0
         for _ in range(4000):
--- a/tests/test_agaterail/test_gateway/test_freshness.py
+++ b/tests/test_agaterail/test_gateway/test_freshness.py
@@ -17,9 +17,9 @@
         self.assertFalse(self.freshness.allows_denial(0.0))
 
     def test_a_resumed_host_accepts_no_key_before_a_read(self):
-        # A caller with a key that was taken away 6 s ago sends to a host that
-        # has just woken: nothing was read meanwhile. The clock counts the
-        # sleep, so the key is refused until the store has been read again.
+        # A caller uses a key that was revoked 6 s ago on a host that has just resumed
+        # and read nothing meanwhile. The clock also advances during suspension, so the
+        # key is refused until the store has been read again.
         self.freshness.confirm(100.0)
         self.assertTrue(self.freshness.allows_keys(104.7))
         self.assertFalse(self.freshness.allows_keys(106.0))
@@ -30,8 +30,8 @@
         self.assertEqual(self.freshness.age_s(100.0), 0.0)
 
     def test_an_unknown_key_is_denied_only_by_a_reading_in_the_config_bound(self):
-        # A key that was added 3 s ago is refused with 401 by a daemon whose
-        # last reading is older: its caller would never ask again.
+        # A key was added 3 s ago, and the last read is older. A 401 would be permanent:
+        # the caller would not retry.
         self.freshness.confirm(100.0)
         self.assertTrue(self.freshness.allows_denial(101.9))
         self.assertFalse(self.freshness.allows_denial(102.1))
@@ -44,8 +44,8 @@
     def test_no_request_sent_past_the_bound_after_a_revocation_is_allowed(
         self, reads, revoked_at, asked_at
     ):
-        # Reads are sent one after the other and answered after a delay; a read
-        # sent after the revocation would have brought it.
+        # Reads are sent one after the other and answered after a delay. A read sent
+        # after the revocation returns it.
         freshness = Freshness(bound_s=5.0, denial_bound_s=2.0)
         now = 0.0
         known_revoked = False
--- a/tests/test_agaterail/test_gateway/test_kvsavecontroller.py
+++ b/tests/test_agaterail/test_gateway/test_kvsavecontroller.py
@@ -50,7 +50,8 @@
         self.assertTrue(self.kept.should_save(save_query("a", "b")))
 
     def test_events_of_a_restarted_store_are_read_from_the_beginning(self):
-        # It is down and returns empty; events after the old number would be missed.
+        # The store restarts empty. Events numbered below the old position would be
+        # missed.
         self.feed.answers = [batch(1, 5, "a"), batch(2, 9), batch(2, 2, "b")]
         for _ in range(3):
             self.kept.follow(STORE)
@@ -94,12 +95,13 @@
         self.readers = (OTHER,)
         with mock.patch.object(self.kept, "_ask", return_value=False) as ask:
             self.assertFalse(self.kept.should_save(save_query("a")))
-            # The answer holds for some seconds.
+            # The answer is cached for some seconds.
             self.assertFalse(self.kept.should_save(save_query("a")))
         ask.assert_called_once()
 
     def test_an_unresponsive_peer_delays_only_one_prompt(self):
-        # It is frozen. Were it asked for each prompt, all would wait for it.
+        # The peer is suspended. If it were asked for every prompt, all prompts would
+        # wait.
         self.readers = (OTHER,)
         with mock.patch.object(self.kept, "_ask", return_value=None) as ask:
             self.assertTrue(self.kept.should_save(save_query("a")))
--- a/tests/test_agaterail/test_gateway/test_kvstoreindex.py
+++ b/tests/test_agaterail/test_gateway/test_kvstoreindex.py
@@ -41,17 +41,18 @@
         self.assertTrue(self.claims(2.1, "a"))
 
     def test_scopes_are_separate(self):
-        # Parts made under older weights must not count for the newer ones.
+        # Parts computed with older weights must not count for newer ones.
         self.index.apply([CacheChange(SCOPE, "a", True)], 0.0)
         self.assertTrue(self.index.claim_save("v2", ["a"], 0.1))
 
     def test_a_missed_eviction_is_corrected_when_the_entry_expires(self):
-        # The event of the eviction is lost. For ever believed to be kept, the part
-        # would be read again by each prompt.
+        # The event of the eviction is lost. If the entry never expired, every prompt
+        # would prefill the part again.
         self.index.apply([CacheChange(SCOPE, "a", True)], 0.0)
         self.assertFalse(self.claims(ENTRY_TTL_S - 0.1, "a"))
         self.assertTrue(self.claims(ENTRY_TTL_S, "a"))
-        # Had the store it still, no event follows; it is not saved all the time then.
+        # If the store still holds the part, it sends no event. The part must not be
+        # saved continuously in that case.
         self.assertFalse(self.claims(ENTRY_TTL_S + SAVE_TIMEOUT_S + 1.0, "a"))
 
     def test_a_restarted_store_is_empty(self):
@@ -62,7 +63,7 @@
 
 
 class Store:
-    """Store that drops what was used least recently, and tells what changes, late."""
+    """Store that evicts the least recently used part and reports changes with a delay."""
 
     def __init__(self, capacity):
         self.capacity = capacity
@@ -86,11 +87,11 @@
 
 
 class StoreChurnTest(unittest.TestCase):
-    """Callers wait for prompts that were read before and are read again.
+    """Callers waited for shared parts that were evicted and prefilled again.
 
-    Shared parts fit into the store one and a half times, but each prompt has as much
-    text again that nobody shares. Saved with every prompt, that text turns the store
-    over within seconds, and shared parts are gone when they are asked for again.
+    The store has one and a half times the size of all shared parts, but each prompt has as
+    much text again that no other prompt shares. If every prompt is saved, that text turns
+    the store over within seconds, and shared parts are gone when they are needed again.
     """
 
     def simulate(self, capacity, chains, tokens, rate, save_all):
@@ -123,7 +124,8 @@
             with self.subTest(chains=chains, tokens=tokens, rate=rate):
                 before = self.simulate(capacity, chains, tokens, rate, save_all=True)
                 after = self.simulate(capacity, chains, tokens, rate, save_all=False)
-                # Of all shared tokens asked for, 0.1 to 0.3 were read again before.
+                # With every prompt saved, 0.1 to 0.3 of the requested shared tokens are
+                # prefilled again.
                 self.assertLess(after, 0.35 * before)
                 self.assertLess(after, 0.08)
 
--- a/tests/test_agaterail/test_gateway/test_loadtime.py
+++ b/tests/test_agaterail/test_gateway/test_loadtime.py
@@ -27,7 +27,7 @@
 
     @given(real=st.floats(0.3, 8.0), wrong=st.floats(0.05, 15.0))
     def test_an_outlier_changes_nothing(self, real, wrong):
-        # One order is carried out late, or its effect is seen with a heartbeat only.
+        # An order is carried out late, or its effect shows only with a heartbeat.
         load_time = LoadTime(ALLOWED_S)
         for seconds in (real, real, wrong, real):
             load_time.note(seconds)
--- a/tests/test_agaterail/test_gateway/test_orderlease.py
+++ b/tests/test_agaterail/test_gateway/test_orderlease.py
@@ -12,7 +12,7 @@
 
 
 class FakeLog:
-    """Log whose appends hold iff they name its end."""
+    """Log that accepts an append only if it names the current end."""
 
     def __init__(self):
         self.entries = []
@@ -58,8 +58,8 @@
         self.assertIsNone(self.log.append(LeaseEntry("other", "b2"), 0))
 
     def test_another_host_waits_for_the_term_and_the_gap(self):
-        # The holder freezes right after an order. Were another host to order
-        # soon after, engines would see the two take turns.
+        # The holder is suspended right after an order. If another host ordered soon
+        # after, engines would see orders of the two alternate.
         self.assertTrue(acquire(self.one, self.log, 0.0))
         self.assertFalse(acquire(self.other, self.log, 1.0))
         self.assertFalse(acquire(self.other, self.log, 1.0 + TERM_S + GAP_S - 0.1))
@@ -74,7 +74,7 @@
         self.assertTrue(self.one.is_held(0.1))
         self.assertTrue(self.other.is_held(0.1))
         self.assertFalse(self.one.is_held(TERM_S + 0.1))
-        # A term and the delay of news later no renewal has come: nobody orders.
+        # A term plus the propagation delay has passed without a renewal.
         self.assertFalse(self.other.is_held(0.1 + TERM_S + 0.7))
 
     def test_a_released_lease_is_not_held(self):
@@ -103,8 +103,8 @@
         self.assertEqual(self.one.remaining_s(1.6), 0.0)
 
     def test_after_a_release_the_next_host_waits_only_for_the_gap(self):
-        # All hosts are restarted in turn while new weights are named. Were the
-        # term of each waited out, engines would keep their old weights.
+        # All hosts are restarted in turn during a rollout. If each term had to expire,
+        # engines would keep their outdated weights.
         acquire(self.one, self.log, 0.0)
         self.one.ordered_at = 0.5
         at = self.one.end
@@ -122,8 +122,8 @@
         self.assertTrue(acquire(self.other, self.log, 0.6))
 
     def test_records_that_expired_unread_are_waited_out(self):
-        # The log's history was dropped, with records of another host in it. A
-        # host that went on naming the old end could never append again.
+        # The log's history was truncated and contained records of another host. A host
+        # that kept naming the old end could never append again.
         acquire(self.one, self.log, 0.0)
         self.one.skip_records(7, 1.0)
         self.assertEqual((self.one.end, self.one.remaining_s(1.0)), (7, 0.0))
--- a/tests/test_agaterail/test_gateway/test_placement.py
+++ b/tests/test_agaterail/test_gateway/test_placement.py
@@ -65,8 +65,8 @@
         self.assertIs(self.choose().target, first)
 
     def test_the_first_engine_on_new_weights_is_not_overloaded(self):
-        # One of five engines has loaded. Were every request sent to it, callers
-        # would wait behind five engines' worth of prompts.
+        # One of five engines has loaded the new weights. If all requests went to it,
+        # callers would wait behind five engines' worth of prompts.
         history = VersionHistory((DesiredVersion(2, 0.0),))
         newest = self.engines[-1]
         newest.registration.weights["m"] = 2
@@ -81,8 +81,8 @@
         self.assertIsNone(self.choose(history=history, now=14.9))
 
     def test_a_newer_version_does_not_reset_the_age_of_an_older_one(self):
-        # An engine missed versions 2 and 3. Its requests would begin on weights
-        # that have been outdated since version 2 was named.
+        # An engine missed versions 2 and 3. Its weights have been outdated since
+        # version 2 was set, and requests must not start on them past the limit.
         history = VersionHistory((DesiredVersion(2, 0.0), DesiredVersion(3, 10.0)))
         self.assertIsNone(self.choose(history=history, now=14.9))
         self.assertEqual(history.outdated_for_s(2, 14.0), 4.0)
@@ -98,7 +98,8 @@
         self.assertIsNotNone(self.choose(now=1.0))
 
     def test_an_engine_that_should_have_loaded_is_tried_with_the_new_weights(self):
-        # Its registration says so a heartbeat later; until then it would stand idle.
+        # The registration reports the new weights only with the next heartbeat. Until
+        # then the engine would stay idle.
         history = VersionHistory((DesiredVersion(2, 0.0),))
         first = self.choose(history=history, now=0.0).target
         first.cordoned_at, first.expected_loaded_at = 0.0, 2.0
@@ -108,7 +109,7 @@
         self.assertEqual(choice.weights_version, 2)
 
     def test_an_engine_that_refuses_repeatedly_is_skipped(self):
-        # The order to load was lost: each try is a repeat that costs budget.
+        # The order to load was lost. Each further try costs a retry from the budget.
         history = VersionHistory((DesiredVersion(2, 0.0),))
         first = self.choose(history=history, now=0.0).target
         first.cordoned_at, first.expected_loaded_at = 0.0, 2.0
--- a/tests/test_agaterail/test_gateway/test_retrybudget.py
+++ b/tests/test_agaterail/test_gateway/test_retrybudget.py
@@ -36,8 +36,8 @@
         st.integers(0, 5),
     )
     def test_daemons_with_overlapping_shares_stay_within_the_total_budget(self, steps, joined):
-        # Six daemons; one of them held its share until a moment ago and another
-        # was dealt the same partitions meanwhile, so shares sum to more than 1.
+        # One of six daemons still uses a share that another one has already been
+        # assigned, so the shares sum to more than 1.
         budgets = [RetryBudget(LIMITS) for _ in range(6)]
         for budget in budgets:
             budget.share = 1.0 / 6.0
--- a/tests/test_agaterail/test_gateway/test_shedding.py
+++ b/tests/test_agaterail/test_gateway/test_shedding.py
@@ -9,14 +9,14 @@
 from agaterail.gateway.shedding import LoadShedder
 
 OBJECTIVE_S = 0.5
-# Callers leave a stream that brings nothing for so long.
+# Callers abandon a stream that brings nothing for this long.
 PATIENCE_S = 2.4
 ENGINES = 5
 DAEMONS = 6
 WARM_S = 0.04
-# A prefix that was pushed out of the engine's memory is read again.
+# Prefill time of a prompt whose prefix was evicted from the engine's memory.
 COLD_S = 0.08
-# Waiting prompts that an engine's memory bears beside its cached prefixes.
+# Queued prompts that fit into an engine's memory besides its cached prefixes.
 MAX_QUEUE = 20
 STEP_S = 0.01
 
@@ -36,7 +36,7 @@
 
 
 class Fleet:
-    """Engines that read prompts one after the other, and daemons before them."""
+    """Engines that prefill one prompt at a time, and daemons in front of them."""
 
     def __init__(self, sheds: bool) -> None:
         self.random = random.Random(7)
@@ -92,9 +92,9 @@
         self.assertGreater(counts.on_time, 0.95 * counts.offered)
 
     def test_shedding_under_overload_serves_more_prompts_in_time(self):
-        # Callers send twice of what the engines can read. If all prompts were
-        # let in, nearly every caller would wait for seconds: the queues push
-        # cached prefixes out, and the engines read slower still.
+        # Callers send twice what the engines can prefill. If all prompts were admitted,
+        # nearly every caller would wait for seconds: the queues evict cached prefixes,
+        # which slows the engines down further.
         without = Fleet(sheds=False).run(rate=240.0, seconds=16.0)
         fleet = Fleet(sheds=True)
         counts = fleet.run(rate=240.0, seconds=16.0)
@@ -103,8 +103,8 @@
         self.assertLess(counts.refused, 0.75 * counts.offered)
 
     def test_refusals_stop_after_the_overload(self):
-        # 3 s after the flood callers are served as before it; a daemon that went
-        # on refusing would turn callers away from idle engines.
+        # Three seconds after the overload, callers are served as before it. A daemon
+        # that kept refusing would turn callers away from idle engines.
         fleet = Fleet(sheds=True)
         fleet.run(rate=240.0, seconds=10.0)
         fleet.run(rate=60.0, seconds=3.0)
@@ -122,8 +122,8 @@
         self.assertFalse(shedder.should_refuse(0.01, fleet.now + 60.0))
 
     def test_waits_below_the_objective_refuse_nobody(self):
-        # After a load of new weights prompts take nearly their whole objective for
-        # some seconds. That passes by itself, and refusing would help nobody.
+        # After a load of new weights, prompts take nearly their whole objective for
+        # some seconds. This recovers by itself, and shedding would not help.
         shedder = LoadShedder("s", 0.0)
         for step in range(100):
             now = step * 0.1
@@ -131,8 +131,8 @@
             self.assertFalse(shedder.should_refuse(0.0, now))
 
     def test_prompts_that_still_wait_count_before_their_first_token(self):
-        # The engines have stopped answering: no first token ever comes. The wait
-        # so far must do, or every further caller would be sent into the queue.
+        # The engines have stopped responding, so no first token ever arrives. The wait
+        # so far must count; otherwise all further prompts would be added to the queue.
         shedder = LoadShedder("s", 0.0)
         for _ in range(10):
             shedder.begin(OBJECTIVE_S, 0.0)
@@ -150,8 +150,8 @@
         self.assertLess(shedder.refusal_probability, 0.05)
 
     def test_a_resumed_host_refuses_nobody(self):
-        # The host slept for 4 s with prompts on their way. Their first tokens have
-        # long come and are read late by this host alone; the engines are idle.
+        # The host was suspended for 4 s with prompts in flight. Their first tokens
+        # arrived long ago and only this host reads them late; the engines are idle.
         shedder = LoadShedder("s", 0.0)
         waiting = [shedder.begin(OBJECTIVE_S, 0.0) for _ in range(10)]
         self.assertFalse(shedder.should_refuse(0.0, 4.0))
@@ -160,8 +160,8 @@
         self.assertFalse(shedder.should_refuse(0.0, 4.2))
 
     def test_quick_refusals_of_full_engines_do_not_hide_an_overload(self):
-        # Engines refuse nine of ten prompts within a millisecond, and the tenth
-        # gets its first token after two objectives.
+        # Engines refuse nine of ten prompts within a millisecond, and the tenth gets
+        # its first token after two objectives.
         shedder = LoadShedder("s", 0.0)
         for step in range(60):
             now = step * 0.05
--- a/tests/test_agaterail/test_gateway/test_streampace.py
+++ b/tests/test_agaterail/test_gateway/test_streampace.py
@@ -49,7 +49,7 @@
 
 @attrs.define(eq=False)
 class Stream:
-    """One stream at the simulated engine."""
+    """A stream at the simulated engine."""
 
     events: int
     came_at: float
@@ -59,7 +59,7 @@
 
 
 class SimulatedEngine:
-    """An engine that reads one prompt in each step, which then takes several times as long."""
+    """Engine that prefills one prompt per step, which makes the step several times as long."""
 
     STEP_S, PREFILL_S, TOKENS = 0.005, 0.035, 4
     LIMIT_S, OBJECTIVE_S, CHANCE_OF_LONG_KIND = 15.0, 0.4, 0.4
@@ -83,7 +83,7 @@
             self.step()
 
     def offer(self):
-        """Bring a prompt to the door."""
+        """Offer a prompt, which is queued or refused."""
         mean = 73 if self.random.random() < self.CHANCE_OF_LONG_KIND else 13
         events = max(1, min(213, int(mean * self.random.lognormvariate(-0.24, 0.69))))
         self.offered.append(events)
@@ -93,7 +93,7 @@
         self.queue.append(Stream(events, self.now, waiting))
 
     def step(self):
-        """Read one prompt, if one waits, and make a token of each running stream."""
+        """Prefill one prompt if any is queued, and decode a token of each running stream."""
         self.now += self.STEP_S + (self.PREFILL_S if self.queue else 0.0)
         if self.queue:
             stream = self.queue.pop(0)
@@ -117,7 +117,7 @@
             self.served.append(stream.events)
 
     def served_fractions(self):
-        """Return the parts that are served of the largest tenth and of all."""
+        """Return the fractions served of the largest tenth and of all streams."""
         bound = sorted(self.offered)[int(0.9 * len(self.offered))]
         largest = sum(item >= bound for item in self.served)
         offered = sum(item >= bound for item in self.offered)
@@ -125,7 +125,7 @@
 
 
 class LongStreamFairnessTest(unittest.TestCase):
-    """Long answers were cut at their time limit while first tokens stayed quick."""
+    """Long answers hit their time limit under overload while first tokens stayed fast."""
 
     SECONDS, PER_S = 90.0, 62.5
 
--- a/tests/test_agaterail/test_gateway/test_targets.py
+++ b/tests/test_agaterail/test_gateway/test_targets.py
@@ -51,8 +51,8 @@
         self.assertTrue(self.gone[0].gone)
 
     def test_a_restart_under_the_same_id_clears_observations(self):
-        # A caller's prompt is sent to an engine that crashed and came back
-        # empty: what was known of the old one must not count for the new one.
+        # An engine crashed and came back empty. Observations of the old process must
+        # not apply to the new one.
         old = self.book.put(make_registration(born=1, weights={"m": 1}))
         old.note_weights("m", 5)
         new = self.book.put(make_registration(born=2, weights={"m": 1}))
@@ -67,9 +67,9 @@
         self.assertEqual(target.failures, 1)
 
     def test_targets_that_lapsed_in_an_outage_are_kept_for_the_grace_period(self):
-        # Right after the store's return its answers show registrations that
-        # lapsed meanwhile. Callers would be refused although the targets live
-        # and register again within two seconds.
+        # Right after the store recovers, its answers show registrations that lapsed
+        # during the outage. Callers would be refused although the targets are alive and
+        # register again within two seconds.
         self.book.put(make_registration("i-1"))
         self.book.put(make_registration("i-2"))
         self.book.store_returned(now=100.0)
--- a/tests/test_agaterail/test_gateway/test_versionhistory.py
+++ b/tests/test_agaterail/test_gateway/test_versionhistory.py
@@ -36,7 +36,7 @@
 
 
 class RestoredAgesTest(unittest.TestCase):
-    """All hosts restart in a rollout; requests began on weights that were overdue."""
+    """After a restart of all hosts, requests started on weights that were overdue."""
 
     def setUp(self):
         self.state = make_state()
@@ -45,12 +45,12 @@
         return self.state.weights["m"].outdated_for_s(held, now)
 
     def test_a_version_of_unknown_age_counts_as_overdue(self):
-        """A start assumed a part of the time allowed, and it was more."""
+        """A starting process assumed part of the allowed time, but the age was higher."""
         self.state.apply([WeightsNamed(1, "m", 2)], 100.0, at_start=True)
         self.assertEqual(self.age(1, 100.0), ALLOWED_S)
 
     def test_a_record_restores_the_age_of_a_version(self):
-        """A start after a short rollout refused engines that could still serve."""
+        """After a short rollout, a starting process refused engines that could still serve."""
         record = VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
         for order in ("record first", "version first"):
             with self.subTest(order):
@@ -64,14 +64,14 @@
                 self.assertEqual(self.age(1, 50.0), 3.0 + 1.5 + SKEW_S)
 
     def test_a_record_from_the_future_is_at_least_as_old_as_the_skew(self):
-        """A time of day that jumped back made an old version look new."""
+        """After the wall clock jumped back, an old version looked new."""
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0, at_start=True)
         record = VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
         self.state.apply_version_ages(record, 50.0, 997.0)
         self.assertEqual(self.age(1, 50.0), 3.0 + SKEW_S)
 
     def test_a_version_missing_from_the_record_is_newer_than_its_reading(self):
-        """A version named right before the power went counted as overdue."""
+        """A version that was set right before a power failure counted as overdue."""
         self.state.apply([WeightsNamed(1, "m", 3)], 50.0, at_start=True)
         record = VersionAgeRecord(1000.0, 0.5, {"m": (VersionAge(2, 9.0),)})
         self.state.apply_version_ages(record, 50.0, 1001.0)
@@ -79,7 +79,7 @@
         self.assertEqual(self.age(1, 50.0), 9.0 + 1.0 + SKEW_S)
 
     def test_a_record_with_a_known_write_time_needs_no_wall_clock(self):
-        """One host's restart beside others took their versions for seconds too old."""
+        """A single restarted host overestimated the ages written by others by seconds."""
         self.state.apply([WeightsNamed(1, "m", 2)], 50.0, at_start=True)
         record = VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 3.0),)})
         self.state.apply_version_ages(record, 52.0, 1000.0, written_after=51.5)
@@ -103,7 +103,7 @@
         self.assertEqual(self.age(1, 51.0), 1.0)
 
     def test_a_version_set_during_a_suspension_counts_from_the_last_read(self):
-        """A host that woke took a version for new that was named at its freeze."""
+        """A resumed host took a version that was set during its suspension for new."""
         self.state.apply([WeightsNamed(1, "m", 2)], 60.0, previous_read_at=48.0)
         self.assertEqual(self.age(1, 60.0), 12.0)
         self.state.apply(
@@ -112,7 +112,7 @@
         self.assertEqual(self.age(2, 62.0), 0.0)
 
     def test_an_overdue_engine_is_not_chosen_after_a_restart_of_all_hosts(self):
-        """Twelve streams began on weights that had been replaced 15.6 s before."""
+        """Twelve streams started on weights that had been replaced 15.6 s before."""
         self.state.apply([WeightsNamed(1, "m", 2)], 11.3, at_start=True)
         record = VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 9.5),)})
         self.state.apply_version_ages(record, 11.3, 1001.8)
@@ -122,7 +122,7 @@
 
 
 class VersionAgeMachine(RuleBasedStateMachine):
-    """Processes that start, freeze, read and write records on clocks that err."""
+    """Processes that start, freeze, read and write records, on inaccurate clocks."""
 
     @initialize()
     def begin(self):
@@ -132,7 +132,7 @@
         self.start(0.0, 0.0)
 
     def start(self, clock_zero, clock_error):
-        """Start a process with clocks of its own."""
+        """Start a process with its own clocks."""
         self.clock_zero, self.clock_error = clock_zero, clock_error
         self.state = make_state()
         self.read_at = None
@@ -204,7 +204,7 @@
 
 class FullRestartTest(unittest.TestCase):
     def test_ages_written_by_the_lease_holder_are_restored_at_start(self):
-        """After a restart of all hosts nobody knew for how long a version had been named."""
+        """After a restart of all hosts, no process knew the ages of the versions."""
         bounds = attrs.evolve(BOUNDS, clock_skew_s=2.0)
         fleet = Fleet(bounds=bounds)
         self.addCleanup(fleet.stop)
--- a/tests/test_agaterail/test_gateway/test_weightscontroller.py
+++ b/tests/test_agaterail/test_gateway/test_weightscontroller.py
@@ -18,7 +18,7 @@
 
 
 def make_daemon(engines):
-    """Return what the controller takes of a daemon, on a clock that is set by hand."""
+    """Return a stand-in for the daemon with a clock that is set by hand."""
     daemon = SimpleNamespace(
         clock=0.0,
         settings=SimpleNamespace(
@@ -47,11 +47,11 @@
 
 
 class CordonLeaseTest(unittest.TestCase):
-    """Callers meet fewer engines than there are.
+    """Engines were cordoned although no host could order them to load.
 
-    The giver of orders leaves while new weights are named; the next one may order
-    only when the lease has run out. Engines that every daemon sets aside meanwhile
-    neither load nor serve, and the prompts of five engines go to three.
+    The lease holder stops during a rollout, and the next host may order only after the
+    lease has expired. Engines that every daemon cordons meanwhile neither load nor serve,
+    and the prompts of five engines go to three.
     """
 
     def setUp(self):
@@ -73,10 +73,10 @@
 
 
 class SharedLoadTimeTest(unittest.TestCase):
-    """Engines that have loaded stand idle, and callers wait at the others.
+    """Loaded engines stayed idle while callers waited at the others.
 
-    Only the giver of orders sees how long a load takes. Without its word the other
-    daemons leave an engine alone until its registration says that it has loaded.
+    Only the lease holder observes how long a load takes. Without its estimate, the other
+    daemons skip an engine until its registration reports the new weights.
     """
 
     def test_the_lease_record_carries_the_load_time(self):
@@ -92,14 +92,14 @@
             self.assertTrue(should_have_loaded(target, DRAIN_S + 0.6))
 
     def test_a_restarted_host_restores_its_measured_load_time(self):
-        # All processes are killed; the same host gives the orders again.
+        # All processes are killed, and the same host takes the lease again.
         controller = WeightsController(make_daemon([]))
         controller.on_lease(LeaseEntry("here", "b0", load_s=0.4), 1, 0.0)
         self.assertEqual(controller.load_time.known_s, 0.4)
 
     def test_the_release_record_carries_the_load_time(self):
-        # All hosts are stopped and started in turn. A giver of orders that starts
-        # reads the newest record only, which is the release of the former one.
+        # All hosts are restarted in turn. A new lease holder reads only the newest
+        # record, which is the release of the previous holder.
         records = []
         daemon = make_daemon([])
         daemon.store = SimpleNamespace(
@@ -113,7 +113,7 @@
 
 
 class FakeEngines:
-    """Engines that load in a given time; they tell when asked."""
+    """Engines that load in a given time and report their state when polled."""
 
     def __init__(self, daemon, load_s):
         self.daemon = daemon
@@ -139,10 +139,10 @@
 
 
 class RolloutSimulationTest(unittest.TestCase):
-    """Callers wait while engines that have loaded stand idle.
+    """Loaded engines stayed idle because the lease holder polled them too late.
 
-    Five engines load one or two at a time, in 0.3 to 8 s each. The giver of orders
-    looks too late, or with a figure of other engines, and the next load begins late.
+    Five engines load one or two at a time, in 0.3 to 8 s each. If the holder polls late or
+    uses the load time of other engines, the next load starts late and callers wait.
     """
 
     def simulate(self, load_s, demand):
--- a/tests/test_agaterail/test_gateway/test_weightsplan.py
+++ b/tests/test_agaterail/test_gateway/test_weightsplan.py
@@ -48,8 +48,8 @@
         self.assertNotIn(following[0].target, [load.target for load in loads])
 
     def test_an_order_without_effect_is_polled_again(self):
-        # The order was lost, or will be carried out late: the engine still
-        # counts as loading, and it is asked again instead of a third one.
+        # The order was lost or will be carried out late. The engine still counts as
+        # loading and is polled again, and no third engine is ordered.
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0)
         self.give(loads, 0.0, wait_s=1.0)
         again = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 1.1)
@@ -65,8 +65,8 @@
         self.assertEqual(find_outdated([leaving], {"m": 2}), [])
 
     def test_every_daemon_cordons_the_engines_that_are_ordered_to_load(self):
-        # Callers' requests would be refused by engines that load; all daemons
-        # compute the same order, so the ones marked are the ones ordered.
+        # Loading engines refuse requests. All daemons compute the same order, so the
+        # cordoned engines are the ones that are ordered to load.
         cordon(self.engines, {"m": 2}, LIGHT, 7.0)
         cordoned = {item.instance for item in self.engines if item.cordoned_at is not None}
         loads = self.plan.next_loads(list(reversed(self.engines)), {"m": 2}, LIGHT, 7.0)
@@ -78,13 +78,13 @@
         self.assertFalse(cordoned & now_cordoned)
 
     def test_under_heavy_load_one_engine_loads_at_a_time(self):
-        # Five engines for five engines' worth of prompts: with two of them
-        # loading, callers of the other three wait for seconds.
+        # Five engines receive five engines' worth of prompts. If two of them loaded,
+        # callers of the other three would wait for seconds.
         self.assertEqual(len(self.plan.next_loads(self.engines, {"m": 2}, HEAVY, 0.0)), 1)
 
     def test_a_rollout_meets_its_deadline_under_heavy_load(self):
-        # Requests must not begin on older weights after 15 s. Loads of 3 s each
-        # are paced so that the last one ends before.
+        # Requests must not start on outdated weights after 15 s. Loads of 3 s each are
+        # paced so that the last one completes before then.
         engines = make_engines(12)
         now, done_at = 0.0, {}
         while find_outdated(engines, {"m": 2}) and now < 30.0:
@@ -104,7 +104,7 @@
         self.assertEqual(max_concurrent_loads(10, 10, LIGHT), 4)
 
     def test_some_engines_stay_in_service_when_a_rollout_is_late(self):
-        # Versions follow each other faster than engines load: all are overdue.
+        # New versions arrive faster than engines load, so all engines are overdue.
         late = RolloutConditions(outdated_for_s=12.0, allowed_s=15.0, demand=0.5, load_s=1.9)
         self.assertEqual(max_concurrent_loads(5, 5, late), 3)
         self.assertEqual(max_concurrent_loads(1, 1, late), 1)
@@ -113,7 +113,7 @@
         self.assertEqual(sum(e.cordoned_at is not None for e in self.engines), 3)
 
     def test_an_unreachable_engine_does_not_count_as_loading(self):
-        # Two engines have gone silent; the others are loaded meanwhile.
+        # Two engines are unreachable; the others load meanwhile.
         for engine in self.engines[:2]:
             engine.note_failure(0.0)
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.1)
@@ -124,8 +124,8 @@
         self.assertIs(find_outdated(self.engines, {"m": 2})[0].target, self.engines[3])
 
     def test_an_engine_stays_cordoned_until_it_has_loaded(self):
-        # A burst of callers halves the loads that may run at once. The second
-        # engine loads already; unmarked, it would get requests and refuse them.
+        # A burst of callers halves the number of concurrent loads. The second engine is
+        # already loading; if it were uncordoned, it would get requests and refuse them.
         cordon(self.engines, {"m": 2}, LIGHT, 10.0)
         cordoned = {item.instance for item in self.engines if item.cordoned_at is not None}
         cordon(self.engines, {"m": 2}, HEAVY, 11.0)
