--- a/agaterail/gateway/cacheterms.py
+++ b/agaterail/gateway/cachedirectives.py
@@ -1,4 +1,4 @@
-"""What an engine is told of cached parts with a prompt."""
+"""Cache directives that an engine gets with a prompt."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import attrs
 
 from agaterail.gateway.inbound import part_key
-from agaterail.gateway.keptparts import SaveQuestion
+from agaterail.gateway.kvstoreindex import SaveQuery
 from agaterail.gateway.placement import choose_by_hash
 
 if TYPE_CHECKING:
@@ -17,24 +17,24 @@
     from agaterail.gateway.job import Job
     from agaterail.gateway.placement import Choice
 
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 
 
 @attrs.frozen(kw_only=True)
-class CacheTerms:
-    """Terms of one attempt.
+class CacheDirectives:
+    """Cache directives of one attempt.
 
     Attributes
     ----------
     cache_scope
-        Requests with other scopes share no cached parts: it names the weights, and
-        the workspace where that is isolated.
+        Cached parts are shared only within a scope. It names the weights, and the
+        workspace if that is isolated.
     weights_version
-        Weights that must answer; None for any.
+        Version that must answer; None for any.
     priority
-        0 is first, 9 last; None leaves the engine's default.
+        From 0, the highest, to 9; None for the engine's default.
     fetch_from, save_to
-        Kept store that the engine fetches from and saves to; empty for neither.
+        KV store to fetch from and to save to; empty for none.
     """
 
     cache_scope: str = ""
@@ -44,30 +44,30 @@
     save_to: str = ""
 
 
-def cache_terms(
+def cache_directives(
     job: Job,
     choice: Choice,
     stores: Sequence[KvStoreSpec],
-    should_save: Callable[[SaveQuestion], bool],
-) -> CacheTerms:
-    """Return what the chosen engine is told of cached parts.
+    should_save: Callable[[SaveQuery], bool],
+) -> CacheDirectives:
+    """Return the cache directives for the chosen engine.
 
-    A prompt's deepest shared part names the store that keeps it, so that all daemons
-    look in the same one.
+    The KV store is chosen by a hash of the deepest shared part, so all daemons look for
+    a prompt in the same store.
     """
     if not job.route.prompted:
-        return CacheTerms()
+        return CacheDirectives()
     version = choice.weights_version
-    terms = CacheTerms(
+    directives = CacheDirectives(
         cache_scope=_scope(job, version), weights_version=version, priority=_priority(job)
     )
     shared = [part_key(part.name) for part in job.inbound.shared_parts]
     if not stores or not shared or version is None:
-        return terms
+        return directives
     store = choose_by_hash(shared[-1], [spec.address for spec in stores])
-    question = SaveQuestion(store=store, scope=terms.cache_scope, parts=shared)
+    save_query = SaveQuery(store=store, scope=directives.cache_scope, parts=shared)
     return attrs.evolve(
-        terms, fetch_from=store, save_to=store if should_save(question) else ""
+        directives, fetch_from=store, save_to=store if should_save(save_query) else ""
     )
 
 
@@ -81,4 +81,4 @@
 def _priority(job: Job) -> int:
     own = job.route.priority if job.workspace is None else job.workspace.priority
     priority = job.route.priority if own is None else own
-    return max(0, min(LEAST_URGENT, priority))
+    return max(0, min(LOWEST_PRIORITY, priority))
