--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -31,7 +31,9 @@
     parser.add_argument("--set", action="append", default=[], metavar="NAME=VALUE")
     arguments = parser.parse_args()
     address = Address.parse(arguments.listen)
-    stand_in = _make(arguments.kind, dict(item.split("=", 1) for item in arguments.set))
+    stand_in = _make_stand_in(
+        arguments.kind, dict(item.split("=", 1) for item in arguments.set)
+    )
     print(stand_in.start(address.host, address.port), flush=True)
     stopping = gevent.event.Event()
     gevent.signal_handler(signal.SIGTERM, stopping.set)
@@ -40,17 +42,17 @@
     stand_in.stop()
 
 
-def _make(kind: str, properties: dict[str, str]) -> StandIn:
+def _make_stand_in(kind: str, properties: dict[str, str]) -> StandIn:
     if kind == "engine":
         return EngineStandIn(_engine_config(properties))
-    makers = {
+    factories = {
         "log": LogStandIn,
         "hosts": HostsStandIn,
         "kvstore": KvStoreStandIn,
         "weights": WeightsStandIn,
         "service": ServiceStandIn,
     }
-    return makers[kind]()
+    return factories[kind]()
 
 
 def _engine_config(properties: dict[str, str]) -> EngineConfig:
--- a/standins/base.py
+++ b/standins/base.py
@@ -15,7 +15,7 @@
 BACKLOG = 1024
 SOCKET_KEY = "standins.socket"
 # The Date and Content-Length lines that the server adds by itself.
-DATE_BYTES = 60
+SERVER_HEADER_BYTES = 60
 
 
 @attrs.frozen(kw_only=True)
@@ -52,7 +52,7 @@
 Handler = Callable[[Call], Answer]
 
 
-class _Handler(WSGIHandler):
+class _AbortableHandler(WSGIHandler):
     """Handler whose connection a fault can cut."""
 
     def get_environ(self) -> dict[str, Any]:
@@ -91,7 +91,7 @@
         listener = _tcp_listener((host, port), backlog=BACKLOG, reuse_addr=True)
         listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.server = WSGIServer(
-            listener, self._serve, log=None, error_log=None, handler_class=_Handler
+            listener, self._serve, log=None, error_log=None, handler_class=_AbortableHandler
         )
         self.server.start()
         return f"{host}:{self.server.server_port}"
@@ -105,17 +105,17 @@
         """Answer one call; exact paths go before prefixes."""
         handler = self.paths.get(call.path)
         if handler is None:
-            fitting = [
+            prefixes = [
                 path
                 for path in self.paths
                 if path.endswith("/") and call.path.startswith(path)
             ]
-            if not fitting:
+            if not prefixes:
                 return json_answer({"error": "no such path"}, 404)
-            handler = self.paths[max(fitting, key=len)]
+            handler = self.paths[max(prefixes, key=len)]
         return handler(call)
 
-    def _spend(self, fault: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
         left = getattr(self.faults, fault)
         if left <= 0:
             return False
@@ -131,7 +131,7 @@
         return json_answer(attrs.asdict(self.faults) if self.faults is not None else {})
 
     def _serve(self, environ: dict[str, Any], start_response: Callable) -> Iterable[bytes]:
-        call = _call_of(environ)
+        call = _call_from_environ(environ)
         try:
             answer = self.route(call)
         except ConnectionAbortedError:
@@ -156,14 +156,19 @@
 
 
 def _answer_bytes(answer: Answer, body: bytes) -> int:
-    return len(b"HTTP/1.1 200 -") + _header_bytes(answer.headers) + DATE_BYTES + len(body)
+    return (
+        len(b"HTTP/1.1 200 -")
+        + _header_bytes(answer.headers)
+        + SERVER_HEADER_BYTES
+        + len(body)
+    )
 
 
 def _header_bytes(headers: Mapping[str, str]) -> int:
     return sum(len(name) + len(value) + len(": \r\n") for name, value in headers.items()) + 4
 
 
-def _call_of(environ: dict[str, Any]) -> Call:
+def _call_from_environ(environ: dict[str, Any]) -> Call:
     headers = {
         name[5:].replace("_", "-").lower(): value
         for name, value in environ.items()
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -29,8 +29,8 @@
     from collections.abc import Container, Iterator
 
 MAX_EVENTS = 200_000
-KEEP_JOB_S = 3.0
-DEFAULT_TOKENS = 16
+JOB_RETENTION_S = 3.0
+DEFAULT_MAX_TOKENS = 16
 SALT_BYTES = 16
 MSGPACK = "application/msgpack"
 
@@ -135,9 +135,9 @@
         )
         self.sequence = 0
 
-    def leading(self, keys: tuple[bytes, ...]) -> int:
+    def match_prefix(self, keys: tuple[bytes, ...]) -> int:
         """Return how many leading keys are held, and mark them as used."""
-        count = _leading(keys, self.keys)
+        count = _prefix_length(keys, self.keys)
         for key in reversed(keys[:count]):
             self.keys.move_to_end(key)
         return count
@@ -176,7 +176,7 @@
         self.faults: EngineFaults
         self.config = config
         self.random = random.Random(seed)
-        self.numbers = itertools.count()
+        self.arrival_numbers = itertools.count()
         self.fencing_number = -1
         self.orders: list[dict[str, Any]] = []
         self.journal: list[str] = []
@@ -185,7 +185,7 @@
         self.prompt_tokens = 0
         self.wasted_tokens = 0
         self.imported_blocks = 0
-        self.transferring = BoundedSemaphore(1)
+        self.transfer_lock = BoundedSemaphore(1)
         self.computed_blocks: collections.Counter[str] = collections.Counter()
         self.adapters: list[str] = []
         self.role = "serve"
@@ -234,7 +234,7 @@
         self.waiting: list[Job] = []
         self.running: list[Job] = []
         self.prefilling: tuple[tuple[bytes, ...], float] = ((), 0.0)
-        self.arrived = Event()
+        self.job_arrived = Event()
         self.accepted = 0
         self.reports: collections.deque[tuple[float, dict[str, Any]]] = collections.deque(
             maxlen=2000
@@ -245,32 +245,32 @@
 
     def _chat(self, call: Call) -> Answer:
         request_id = call.headers.get("x-request-id", secrets.token_hex(8))
-        heads = {"x-request-id": request_id, "x-weights-version": self.weights_version}
+        headers = {"x-request-id": request_id, "x-weights-version": self.weights_version}
         if self.faults.refuse or self.loading:
-            refusal = {**heads, "x-not-run": "true", "retry-after": "1"}
+            refusal = {**headers, "x-not-run": "true", "retry-after": "1"}
             return json_answer({"error": {"message": "not run"}}, 503, **refusal)
         if call.headers.get("x-expect-weights", "") not in ("", self.weights_version):
-            refusal = {**heads, "x-not-run": "true"}
+            refusal = {**headers, "x-not-run": "true"}
             return json_answer({"error": "other weights"}, 412, **refusal)
-        if self._spend("cut_before_head"):
+        if self._consume_fault("cut_before_head"):
             raise ConnectionAbortedError
         parsed = chat.parse(call.body).value_or(None)
         if parsed is None:
-            return json_answer({"error": {"message": "malformed"}}, 400, **heads)
+            return json_answer({"error": {"message": "malformed"}}, 400, **headers)
         while self.faults.paused:
             gevent.sleep(0.01)
         gevent.sleep(self.faults.slow_head_ms / 1e3)
         job = self._accept(call, parsed, request_id)
-        if self._spend("crossed"):
-            heads["x-request-id"] = "another-request"
+        if self._consume_fault("crossed"):
+            headers["x-request-id"] = "another-request"
         if parsed.stream:
-            heads["content-type"] = "text/event-stream"
-            return Answer(200, self._stream(job, 0), heads)
+            headers["content-type"] = "text/event-stream"
+            return Answer(200, self._stream(job, 0), headers)
         while not job.done:
             if job.cancelled:
                 raise ConnectionAbortedError
             job.changed.wait()
-        return json_answer(self._whole(job), 200, **heads)
+        return json_answer(self._completion(job), 200, **headers)
 
     def _accept(self, call: Call, parsed: chat.ChatRequest, request_id: str) -> Job:
         tokenizer = ByteTokenizer(self.config.token_bytes)
@@ -279,18 +279,18 @@
         block_bytes = tokenizer.block_bytes(self.config.block_tokens)
         priority = int(call.headers.get("x-priority", "5"))
         job = Job(
-            rank=(-priority, next(self.numbers)),
+            rank=(-priority, next(self.arrival_numbers)),
             request_id=request_id,
             keys=block_keys(salt, prompt, block_bytes),
             prompt_tokens=tokenizer.tokens(len(prompt)),
-            max_tokens=parsed.max_tokens or DEFAULT_TOKENS,
+            max_tokens=parsed.max_tokens or DEFAULT_MAX_TOKENS,
             answer_id=blake2b(prompt, digest_size=4).hexdigest(),
         )
         self.jobs[request_id] = job
         self.accepted += 1
         self.journal.append(request_id)
         heapq.heappush(self.waiting, job)
-        self.arrived.set()
+        self.job_arrived.set()
         return job
 
     def _stream(self, job: Job, position: int) -> Iterator[bytes]:
@@ -298,8 +298,8 @@
         cut_after = self.faults.cut_after_frames if position == 0 else 0
         if cut_after:
             self.faults.cut_after_frames = 0
-        skip = position == 0 and self._spend("skip_frame")
-        repeat = position == 0 and self._spend("repeat_frame")
+        skip = position == 0 and self._consume_fault("skip_frame")
+        repeat = position == 0 and self._consume_fault("repeat_frame")
         sent = position
         try:
             while True:
@@ -322,24 +322,26 @@
                 yield b"".join(frames)
         finally:
             if not job.done:
-                gevent.spawn_later(KEEP_JOB_S, self._drop, job)
+                gevent.spawn_later(JOB_RETENTION_S, self._cancel_job, job)
 
     def _resume(self, call: Call) -> Answer:
         request_id = call.headers.get("x-request-id", "")
         job = self.jobs.get(request_id)
-        heads = {"x-request-id": request_id, "x-weights-version": self.weights_version}
+        headers = {"x-request-id": request_id, "x-weights-version": self.weights_version}
         if job is None or job.cancelled or self.faults.no_resume:
-            return json_answer({"error": "unknown request"}, 404, **heads)
-        heads["content-type"] = "text/event-stream"
-        return Answer(200, self._stream(job, int(call.headers.get("x-position", "0"))), heads)
+            return json_answer({"error": "unknown request"}, 404, **headers)
+        headers["content-type"] = "text/event-stream"
+        return Answer(
+            200, self._stream(job, int(call.headers.get("x-position", "0"))), headers
+        )
 
     def _cancel(self, call: Call) -> Answer:
         job = self.jobs.get(call.json().get("request_id", ""))
         if job is not None:
-            self._drop(job)
+            self._cancel_job(job)
         return json_answer({})
 
-    def _drop(self, job: Job) -> None:
+    def _cancel_job(self, job: Job) -> None:
         if job.done:
             return
         job.cancelled = True
@@ -348,7 +350,7 @@
             self.running.remove(job)
         job.notify()
 
-    def _whole(self, job: Job) -> dict[str, Any]:
+    def _completion(self, job: Job) -> dict[str, Any]:
         return {
             "id": f"chatcmpl-{job.request_id}",
             "object": "chat.completion",
@@ -377,8 +379,8 @@
     def _prefill_loop(self) -> None:
         while True:
             while not self.waiting or len(self.running) >= self.config.max_running:
-                self.arrived.clear()
-                self.arrived.wait(0.05)
+                self.job_arrived.clear()
+                self.job_arrived.wait(0.05)
             job = heapq.heappop(self.waiting)
             if job.cancelled:
                 continue
@@ -386,7 +388,7 @@
 
     def _prefill(self, job: Job) -> None:
         incarnation = self.incarnation
-        hit = self.cache.leading(job.keys)
+        hit = self.cache.match_prefix(job.keys)
         job.cached_tokens = hit * self.config.block_tokens
         missing = max(1, job.prompt_tokens - job.cached_tokens)
         seconds = missing * self._prefill_ms_per_token() / 1e3
@@ -420,17 +422,19 @@
     def _decode(self, job: Job) -> None:
         token = f"{job.answer_id}:{len(job.text)} "
         job.text.append(token)
-        self._frame(job, {"index": 0, "delta": {"content": token}, "finish_reason": None})
+        self._append_frame(
+            job, {"index": 0, "delta": {"content": token}, "finish_reason": None}
+        )
         if len(job.text) >= job.max_tokens:
             choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
-            self._frame(job, choice, self._usage(job))
+            self._append_frame(job, choice, self._usage(job))
             job.frames.append(f"id: {len(job.frames)}\ndata: [DONE]\n\n".encode())
             job.done = True
             self.running.remove(job)
-            gevent.spawn_later(KEEP_JOB_S, self.jobs.pop, job.request_id, None)
+            gevent.spawn_later(JOB_RETENTION_S, self.jobs.pop, job.request_id, None)
         job.notify()
 
-    def _frame(
+    def _append_frame(
         self, job: Job, choice: dict[str, Any], usage: dict[str, Any] | None = None
     ) -> None:
         fields: dict[str, Any] = {
@@ -471,18 +475,18 @@
     def _waiting_prefill_tokens(self) -> int:
         if self.faults.load_counts_cached:
             return sum(job.prompt_tokens for job in self.waiting)
-        return round(self._foresee()[1] / self._prefill_ms_per_token())
+        return round(self._predict_cache_and_queue()[1] / self._prefill_ms_per_token())
 
     def _load(self, _call: Call) -> Answer:
-        return json_answer(self._shown_report())
+        return json_answer(self._lagged_report())
 
-    def _shown_report(self) -> dict[str, Any]:
-        shown_at = time.monotonic() - self.faults.load_lag_ms / 1e3
+    def _lagged_report(self) -> dict[str, Any]:
+        visible_until = time.monotonic() - self.faults.load_lag_ms / 1e3
         if self.faults.load_frozen:
             at, report = self.reports[0]
         else:
             at, report = next(
-                (item for item in reversed(self.reports) if item[0] <= shown_at),
+                (item for item in reversed(self.reports) if item[0] <= visible_until),
                 self.reports[0],
             )
         return {**report, "age_ms": max(0.0, (time.monotonic() - at) * 1e3)}
@@ -491,20 +495,22 @@
         after = int(call.query.get("after", "0"))
         end = time.monotonic() + int(call.query.get("wait_ms", "0")) / 1e3
         while True:
-            shown_at = time.monotonic() - self.faults.event_delay_ms / 1e3
-            fresh = [
+            visible_until = time.monotonic() - self.faults.event_delay_ms / 1e3
+            new_events = [
                 (number, kind, keys)
                 for at, number, kind, keys in itertools.islice(
                     self.cache.events, max(0, after - self._first_sequence() + 1), None
                 )
-                if number > after and at <= shown_at
+                if number > after and at <= visible_until
             ]
-            if fresh or time.monotonic() >= end:
+            if new_events or time.monotonic() >= end:
                 break
             gevent.sleep(0.005)
-        last = fresh[-1][0] if fresh else after
-        kept = [event for event in fresh if self.random.random() >= self.faults.event_loss]
-        size = _key_bytes(call)
+        last = new_events[-1][0] if new_events else after
+        kept = [
+            event for event in new_events if self.random.random() >= self.faults.event_loss
+        ]
+        size = _requested_key_bytes(call)
         fields: dict[str, Any] = {
             "incarnation": self.incarnation,
             "events": [
@@ -514,14 +520,14 @@
             "last": last,
         }
         if call.query.get("load") == "1":
-            fields["load"] = self._shown_report()
+            fields["load"] = self._lagged_report()
         return Answer(200, msgpack.packb(fields), {"content-type": MSGPACK})
 
     def _first_sequence(self) -> int:
         return self.cache.events[0][1] if self.cache.events else 1
 
     def _cache(self, call: Call) -> Answer:
-        size = _key_bytes(call)
+        size = _requested_key_bytes(call)
         fields = {
             "incarnation": self.incarnation,
             "sequence": self.cache.sequence,
@@ -547,11 +553,11 @@
 
     def _exact(self, call: Call) -> Answer:
         keys = tuple(bytes.fromhex(key) for key in call.json()["keys"])
-        held, queue_ms = self._foresee()
-        depth = _leading(keys, held)
+        held, queue_ms = self._predict_cache_and_queue()
+        depth = _prefix_length(keys, held)
         return json_answer({"blocks": depth, "queue_ms": queue_ms})
 
-    def _foresee(self) -> tuple[collections.ChainMap[bytes, None], float]:
+    def _predict_cache_and_queue(self) -> tuple[collections.ChainMap[bytes, None], float]:
         """Return what the cache will hold, but for evictions, and the time until then."""
         added: dict[bytes, None] = {}
         held = collections.ChainMap(added, self.cache.keys)
@@ -561,7 +567,7 @@
         for job in sorted(self.waiting):
             if job.cancelled:
                 continue
-            cached = _leading(job.keys, held) * self.config.block_tokens
+            cached = _prefix_length(job.keys, held) * self.config.block_tokens
             queue_ms += max(1, job.prompt_tokens - cached) * self._prefill_ms_per_token()
             added.update(dict.fromkeys(job.keys))
         return held, queue_ms
@@ -621,7 +627,7 @@
         source = HttpConnections(Address.parse(fields["source"]))
         body = json.dumps({"keys": fields["keys"]}).encode()
         # One transfer at a time: they share the engine's network.
-        with self.transferring:
+        with self.transfer_lock:
             answer = source.call("POST", "/blocks/get", body, timeout_s=10.0)
         status, data = answer.value_or((0, b""))
         if status != 200 or incarnation != self.incarnation:
@@ -644,12 +650,12 @@
 
     def _crash(self, _call: Call) -> Answer:
         for job in list(self.jobs.values()):
-            self._drop(job)
+            self._cancel_job(job)
         self._reset()
         return json_answer({})
 
 
-def _leading(keys: tuple[bytes, ...], held: Container[bytes]) -> int:
+def _prefix_length(keys: tuple[bytes, ...], held: Container[bytes]) -> int:
     count = 0
     for key in keys:
         if key not in held:
@@ -658,5 +664,5 @@
     return count
 
 
-def _key_bytes(call: Call) -> int:
+def _requested_key_bytes(call: Call) -> int:
     return min(KEY_BYTES, int(call.query.get("key_bytes", str(KEY_BYTES))))
--- a/standins/hosts.py
+++ b/standins/hosts.py
@@ -24,7 +24,7 @@
 class HostsVersion:
     """The list after one change."""
 
-    at: float
+    published_at: float
     number: int
     hosts: list[dict[str, str]]
 
@@ -36,7 +36,7 @@
         super().__init__(HostsFaults())
         self.faults: HostsFaults
         self.versions = collections.deque([HostsVersion(0.0, 0, [])], maxlen=MAX_VERSIONS)
-        self.started = time.monotonic_ns()
+        self.started_ns = time.monotonic_ns()
         self.reads = 0
         self.read_bytes = 0
         self.paths["/hosts"] = self._hosts
@@ -57,10 +57,12 @@
             self.put(**call.json())
             return json_answer({})
         self.reads += 1
-        shown_at = time.monotonic() - self.faults.lag_ms / 1e3
-        shown = [version for version in self.versions if version.at <= shown_at]
-        version = shown[-1] if shown else self.versions[0]
-        etag = f'"{self.started}-{version.number}"'
+        visible_until = time.monotonic() - self.faults.lag_ms / 1e3
+        visible = [
+            version for version in self.versions if version.published_at <= visible_until
+        ]
+        version = visible[-1] if visible else self.versions[0]
+        etag = f'"{self.started_ns}-{version.number}"'
         if call.headers.get("if-none-match") == etag:
             return Answer(304, b"", {"etag": etag})
         answer = json_answer({"hosts": version.hosts}, etag=etag)
--- a/standins/kvstore.py
+++ b/standins/kvstore.py
@@ -44,17 +44,17 @@
     def _get(self, call: Call) -> Answer:
         if self.faults.down:
             return Answer(503)
-        found = _leading(call.json()["keys"], self.keys)
+        found = _held_prefix(call.json()["keys"], self.keys)
         gevent.sleep(len(found) * self.faults.ms_per_block / 1e3)
         return json_answer({"keys": found})
 
     def _has(self, call: Call) -> Answer:
         if self.faults.down:
             return Answer(503)
-        return json_answer({"blocks": len(_leading(call.json()["keys"], self.keys))})
+        return json_answer({"blocks": len(_held_prefix(call.json()["keys"], self.keys))})
 
 
-def _leading(keys: list[str], held: collections.OrderedDict[str, None]) -> list[str]:
+def _held_prefix(keys: list[str], held: collections.OrderedDict[str, None]) -> list[str]:
     found: list[str] = []
     for key in keys:
         if key not in held:
--- a/standins/load.py
+++ b/standins/load.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define(kw_only=True)
-class Seen:
+class StreamResult:
     """What a caller got for one request.
 
     Attributes
@@ -74,27 +74,27 @@
         self.instruction_tokens = instruction_tokens
         self.history_tokens = history_tokens
         self.question_tokens = question_tokens
-        self.weights = [1.0 / (rank + 1) ** skew for rank in range(customers)]
-        self.shift = 0
-        self.asked = 0
+        self.customer_weights = [1.0 / (rank + 1) ** skew for rank in range(customers)]
+        self.customer_shift = 0
+        self.question_count = 0
 
     def prompts(self, count: int) -> Iterator[Prompt]:
-        """Yield prompts; the hot customers move when ``shift`` is changed."""
+        """Yield prompts; the hot customers move when ``customer_shift`` is changed."""
         for _ in range(count):
             workspace = self.random.randrange(self.workspaces)
-            rank = self.random.choices(range(self.customers), self.weights)[0]
-            yield self.prompt(workspace, (rank + self.shift) % self.customers)
+            rank = self.random.choices(range(self.customers), self.customer_weights)[0]
+            yield self.prompt(workspace, (rank + self.customer_shift) % self.customers)
 
     def prompt(self, workspace: int, customer: int) -> Prompt:
         """Return a new question of one customer."""
-        self.asked += 1
+        self.question_count += 1
         return Prompt(
             workspace=workspace,
             customer=customer,
             messages=(
                 _message("system", f"w{workspace}", self.instruction_tokens),
                 _message("user", f"w{workspace}c{customer}", self.history_tokens),
-                _message("user", f"q{self.asked}", self.question_tokens),
+                _message("user", f"q{self.question_count}", self.question_tokens),
             ),
         )
 
@@ -112,7 +112,9 @@
         self.api_key = api_key
         self.model = model
 
-    def ask(self, prompt: Prompt, max_tokens: int = 16, timeout_s: float = 60.0) -> Seen:
+    def ask(
+        self, prompt: Prompt, max_tokens: int = 16, timeout_s: float = 60.0
+    ) -> StreamResult:
         """Stream one completion and check that it is whole and in order."""
         fields = {
             "model": self.model,
@@ -124,45 +126,45 @@
             "authorization": f"Bearer {self.api_key}",
             "content-type": "application/json",
         }
-        seen = Seen()
+        result = StreamResult()
         started = time.monotonic()
         sent = self.connections.send(
             "POST", "/v1/chat/completions", json.dumps(fields).encode(), headers, timeout_s
         )
         if not isinstance(sent, Success):
-            seen.error = str(sent.failure())
-            return seen
+            result.error = str(sent.failure())
+            return result
         response = sent.unwrap()
-        seen.status = response.status_code
-        seen.request_id = str(response.get("x-request-id", ""))
-        seen.reason = str(response.get("x-agaterail-reason", ""))
-        seen.target = str(response.get("x-agaterail-target", ""))
-        seen.outcome = str(response.get("x-agaterail-outcome", ""))
+        result.status = response.status_code
+        result.request_id = str(response.get("x-request-id", ""))
+        result.reason = str(response.get("x-agaterail-reason", ""))
+        result.target = str(response.get("x-agaterail-target", ""))
+        result.outcome = str(response.get("x-agaterail-outcome", ""))
         body = b""
         try:
             while part := response.read_available():
-                if not seen.first_token_ms:
-                    seen.first_token_ms = (time.monotonic() - started) * 1e3
+                if not result.first_token_ms:
+                    result.first_token_ms = (time.monotonic() - started) * 1e3
                 body += part
         except OSError as error:
             response.discard()
-            seen.error = str(error)
-        seen.total_ms = (time.monotonic() - started) * 1e3
-        if seen.status == 200:
-            _judge(seen, body, max_tokens)
+            result.error = str(error)
+        result.total_ms = (time.monotonic() - started) * 1e3
+        if result.status == 200:
+            _check_stream(result, body, max_tokens)
         else:
-            seen.error = body.decode("utf-8", "replace")
-        return seen
+            result.error = body.decode("utf-8", "replace")
+        return result
 
 
-def _judge(seen: Seen, body: bytes, max_tokens: int) -> None:
+def _check_stream(result: StreamResult, body: bytes, max_tokens: int) -> None:
     lines = [line for line in body.split(b"\n") if line.startswith(b"data: ")]
     errors = [line for line in lines if line.startswith(b'data: {"error"')]
     if errors:
-        seen.error = errors[0].removeprefix(b"data: ").decode()
+        result.error = errors[0].removeprefix(b"data: ").decode()
         return
     if not lines or lines[-1] != b"data: [DONE]":
-        seen.error = seen.error or "no final frame"
+        result.error = result.error or "no final frame"
         return
     numbers: list[int] = []
     answer_ids: set[str] = set()
@@ -170,14 +172,14 @@
         fields = json.loads(line[len(b"data: ") :])
         usage = fields.get("usage")
         if usage:
-            seen.prompt_tokens = usage["prompt_tokens"]
-            seen.cached_tokens = usage["prompt_tokens_details"]["cached_tokens"]
+            result.prompt_tokens = usage["prompt_tokens"]
+            result.cached_tokens = usage["prompt_tokens_details"]["cached_tokens"]
         content = fields["choices"][0]["delta"].get("content")
         if content:
             answer_id, _, number = content.strip().partition(":")
             answer_ids.add(answer_id)
             numbers.append(int(number))
-    seen.tokens = len(numbers)
-    seen.whole = numbers == list(range(max_tokens)) and len(answer_ids) == 1
-    if not seen.whole:
-        seen.error = f"tokens out of order: {numbers[:10]}"
+    result.tokens = len(numbers)
+    result.whole = numbers == list(range(max_tokens)) and len(answer_ids) == 1
+    if not result.whole:
+        result.error = f"tokens out of order: {numbers[:10]}"
--- a/standins/log.py
+++ b/standins/log.py
@@ -47,7 +47,7 @@
         super().__init__(LogFaults())
         self.faults: LogFaults
         self.streams: dict[str, collections.deque[tuple[int, bytes]]] = {}
-        self.ends: dict[str, int] = {}
+        self.end_offsets: dict[str, int] = {}
         self.changed: dict[str, Event] = {}
         self.appended_at: collections.deque[float] = collections.deque()
         self.reads = 0
@@ -77,19 +77,19 @@
         if len(self.appended_at) >= self.faults.appends_per_s:
             return Answer(429)
         self.appended_at.append(now)
-        offset = self.ends.get(name, 0)
-        self.ends[name] = offset + 1
-        kept = self.streams.setdefault(name, collections.deque())
-        kept.append((offset, data))
-        while self.faults.retention and len(kept) > self.faults.retention:
-            kept.popleft()
+        offset = self.end_offsets.get(name, 0)
+        self.end_offsets[name] = offset + 1
+        stored = self.streams.setdefault(name, collections.deque())
+        stored.append((offset, data))
+        while self.faults.retention and len(stored) > self.faults.retention:
+            stored.popleft()
         self.appends += 1
         self.changed.setdefault(name, Event()).set()
         self.changed[name] = Event()
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             raise ConnectionAbortedError
-        return _packed({"offset": offset})
+        return _msgpack_answer({"offset": offset})
 
     def _read(self, name: str, call: Call) -> Answer:
         offset = int(call.query.get("offset", "0"))
@@ -100,25 +100,26 @@
             if self.faults.down:
                 return Answer(503)
         end = self._visible_end(name)
-        kept = self.streams.get(name, collections.deque())
-        first = kept[0][0] if kept else end
+        stored = self.streams.get(name, collections.deque())
+        first = stored[0][0] if stored else end
         start = max(0, offset - first)
         records = [
-            kept[index] for index in range(start, max(start, min(len(kept), start + limit)))
+            stored[index]
+            for index in range(start, max(start, min(len(stored), start + limit)))
         ]
         records = [record for record in records if record[0] < end]
-        answer = _packed({"records": records, "first": first, "end": end})
+        answer = _msgpack_answer({"records": records, "first": first, "end": end})
         self.reads += 1
         self.read_bytes += len(answer.body) if isinstance(answer.body, bytes) else 0
         return answer
 
     def _visible_end(self, name: str) -> int:
-        return max(0, self.ends.get(name, 0) - self.faults.stale_records)
+        return max(0, self.end_offsets.get(name, 0) - self.faults.stale_records)
 
     def _stats(self, _call: Call) -> Answer:
         fields = {"reads": self.reads, "read_bytes": self.read_bytes, "appends": self.appends}
         return json_answer(fields)
 
 
-def _packed(fields: object) -> Answer:
+def _msgpack_answer(fields: object) -> Answer:
     return Answer(200, msgpack.packb(fields), {"content-type": "application/msgpack"})
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -26,13 +26,13 @@
     headers: dict[str, str]
     body: bytes
     weights: int
-    at: float
-    ended: str = "open"
+    started_at: float
+    outcome: str = "open"
     ended_at: float = 0.0
 
     def end(self, how: str) -> None:
         """Note how and when the work on it ended."""
-        self.ended, self.ended_at = how, time.monotonic()
+        self.outcome, self.ended_at = how, time.monotonic()
 
 
 class PlatformTargetStandIn:
@@ -50,7 +50,7 @@
         self.model = model
         self.events = events
         self.version = 1
-        self.named = 1
+        self.announced_version = 1
         self.work_s = 0.01
         self.event_s = 0.01
         self.load_s = 0.2
@@ -58,7 +58,7 @@
         self.break_after: int | None = None
         self.pause_before: int | None = None
         self.pause_s = 1.3
-        self.loaded_hook: Callable[[], object] = lambda: None
+        self.on_loaded: Callable[[], object] = lambda: None
         self.loading = False
         self.orders = 0
         self.fence = -1
@@ -150,28 +150,32 @@
         if self.hang:
             gevent.sleep(30.0)
             return False
-        if self.pause_before == 0 and self._is_left(sock, run):
+        if self.pause_before == 0 and self._client_disconnects(sock, run):
             return False
-        mark = {"Request-Id": run.request_id, "Server-Stamp": f"s-{self.instance}"}
+        answer_headers = {"Request-Id": run.request_id, "Server-Stamp": f"s-{self.instance}"}
         if self.error:
             run.end("error")
-            return self._send(sock, 500, mark, b"failed")
+            return self._send(sock, 500, answer_headers, b"failed")
         if self.model:
-            return self._stream(sock, run, mark)
+            return self._stream(sock, run, answer_headers)
         run.end("whole")
         answer = f"{self.instance} {run.request_id}".encode() * 20
         for _ in range(2 if self.doubled else 1):
-            self._send(sock, 200, mark, answer)
+            self._send(sock, 200, answer_headers, answer)
         return True
 
-    def _stream(self, sock: socket.socket, run: Run, mark: dict[str, str]) -> bool:
+    def _stream(self, sock: socket.socket, run: Run, answer_headers: dict[str, str]) -> bool:
         first = int(run.headers.get("last-event-id") or 0) + 1
-        head = {**mark, "Content-Type": "text/event-stream", "Transfer-Encoding": "chunked"}
+        head = {
+            **answer_headers,
+            "Content-Type": "text/event-stream",
+            "Transfer-Encoding": "chunked",
+        }
         head["Weight-Versions"] = str(self.version)
         sock.sendall(_head(200, head))
         for number in range(first, self.events + 1):
             gevent.sleep(self.event_s)
-            if self.pause_before == number and self._is_left(sock, run):
+            if self.pause_before == number and self._client_disconnects(sock, run):
                 return False
             event = b"id: %d\ndata: %s-%d\n\n" % (number, run.request_id.encode(), number)
             if self.break_after == number:
@@ -183,7 +187,7 @@
         run.end("whole")
         return True
 
-    def _is_left(self, sock: socket.socket, run: Run) -> bool:
+    def _client_disconnects(self, sock: socket.socket, run: Run) -> bool:
         """Pause; tells whether the other side closed the connection meanwhile."""
         readable, _, _ = select.select([sock], [], [], self.pause_s)
         if not readable:
@@ -199,7 +203,7 @@
             "busy": self.loading,
             "seq_no": self.orders,
             "waiting": 0,
-            "running": sum(run.ended == "open" for run in self.runs[-20:]),
+            "running": sum(run.outcome == "open" for run in self.runs[-20:]),
         }
 
     def _order(self, order: dict[str, Any]) -> int:
@@ -211,19 +215,19 @@
         self.fence = order["fence"]
         if order["version"] == self.version:
             return 200
-        if order["version"] > self.named:
+        if order["version"] > self.announced_version:
             return 400
         if self.loading or order.get("expect", self.orders) != self.orders:
             return 409
         self.orders += 1
         self.loading = True
-        gevent.spawn_later(self.load_s, self._loaded, order["version"])
+        gevent.spawn_later(self.load_s, self._finish_load, order["version"])
         return 202
 
-    def _loaded(self, version: int) -> None:
+    def _finish_load(self, version: int) -> None:
         self.loading = False
         self.version = version
-        self.loaded_hook()
+        self.on_loaded()
 
     def _send_json(self, sock: socket.socket, status: int, found: Any) -> bool:
         return self._send(sock, status, {}, json.dumps(found).encode())
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -15,11 +15,11 @@
 
 from standins.base import Answer, Call, StandIn, json_answer
 
-LENGTH = struct.Struct(">I")
-ENDS = struct.Struct(">QQ")
-PARTS = 16
-PAGE = 500
-MAX_KB = 1024
+RECORD_LENGTH = struct.Struct(">I")
+READ_HEADER = struct.Struct(">QQ")
+PARTITIONS = 16
+PAGE_ROWS = 500
+DEFAULT_MAX_KB = 1024
 
 
 @attrs.define
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.topics: dict[tuple[str, int], list[bytes]] = {}
-        self.first: dict[tuple[str, int], int] = {}
+        self.first_offsets: dict[tuple[str, int], int] = {}
         self.changed = gevent.event.Event()
         self.members: dict[str, dict[str, _Member]] = {}
         self.generation = 1
@@ -68,14 +68,14 @@
     def put(self, topic: str, key: str, value: bytes) -> int:
         """Append a keyed record, as operators and targets do."""
         name = key.encode()
-        return self._add(topic, 0, bytes([len(name)]) + name + value)
+        return self._append_record(topic, 0, bytes([len(name)]) + name + value)
 
     def expire(self, topic: str) -> None:
         """Forget the history of a topic, the newest record of each key apart."""
         log = self.topics.get((topic, 0), [])
-        self.first[topic, 0] = len(log)
+        self.first_offsets[topic, 0] = len(log)
 
-    def _add(self, topic: str, part: int, content: bytes) -> int:
+    def _append_record(self, topic: str, part: int, content: bytes) -> int:
         log = self.topics.setdefault((topic, part), [])
         log.append(content)
         self.changed.set()
@@ -87,12 +87,12 @@
         log = self.topics.setdefault((topic, part), [])
         if "at" in call.query and int(call.query["at"]) != len(log):
             return json_answer({"end": len(log)}, 412)
-        offset, place = len(log), 0
-        while place < len(call.body):
-            (length,) = LENGTH.unpack_from(call.body, place)
-            place += LENGTH.size
-            self._add(topic, part, call.body[place : place + length])
-            place += length
+        offset, position = len(log), 0
+        while position < len(call.body):
+            (length,) = RECORD_LENGTH.unpack_from(call.body, position)
+            position += RECORD_LENGTH.size
+            self._append_record(topic, part, call.body[position : position + length])
+            position += length
         return json_answer({"offset": offset, "end": len(log)})
 
     def _read(self, call: Call) -> Answer:
@@ -100,7 +100,7 @@
         start = int(call.query["from"])
         until = time.monotonic() + int(call.query.get("wait_ms", "0")) / 1e3
         while True:
-            log, first = self.topics.get(key, []), self.first.get(key, 0)
+            log, first = self.topics.get(key, []), self.first_offsets.get(key, 0)
             if start < first:
                 return json_answer({"first": first}, 410)
             left = until - time.monotonic()
@@ -110,12 +110,12 @@
         if self.down:
             return Answer(503)
         self.reads[call.query["topic"]] += 1
-        most_bytes = int(call.query.get("max_kb", MAX_KB)) * 1024
-        body = ENDS.pack(len(log), first)
+        most_bytes = int(call.query.get("max_kb", DEFAULT_MAX_KB)) * 1024
+        body = READ_HEADER.pack(len(log), first)
         for content in log[start:]:
-            if len(body) > ENDS.size and len(body) + len(content) > most_bytes:
+            if len(body) > READ_HEADER.size and len(body) + len(content) > most_bytes:
                 break
-            body += LENGTH.pack(len(content)) + content
+            body += RECORD_LENGTH.pack(len(content)) + content
         return Answer(200, body)
 
     def _newest(self, call: Call) -> Answer:
@@ -134,45 +134,45 @@
             for key, (offset, value) in sorted(newest.items())
             if key > after
         ]
-        more = len(rows) > PAGE
-        return json_answer({"items": rows[:PAGE], "has_more": more, "end": len(log)})
+        more = len(rows) > PAGE_ROWS
+        return json_answer({"items": rows[:PAGE_ROWS], "has_more": more, "end": len(log)})
 
     def _join(self, call: Call) -> Answer:
         found = call.json()
-        members = self._live(found["group"])
+        members = self._live_members(found["group"])
         if found["member"] not in members:
             self.generation += 1
         ends = time.monotonic() + found["ttl_ms"] / 1e3
         members[found["member"]] = _Member(ends, found["topics"])
         rows = [
             [topic, part, 0]
-            for topic, part, member in self._dealt(found["group"])
+            for topic, part, member in self._assignments(found["group"])
             if member == found["member"]
         ]
         return json_answer({"generation": self.generation, "parts": rows})
 
     def _leave(self, call: Call) -> Answer:
         found = call.json()
-        if self._live(found["group"]).pop(found["member"], None):
+        if self._live_members(found["group"]).pop(found["member"], None):
             self.generation += 1
         return json_answer({})
 
     def _owners(self, call: Call) -> Answer:
-        rows = [[*row, 0] for row in self._dealt(call.query["group"])]
+        rows = [[*row, 0] for row in self._assignments(call.query["group"])]
         return json_answer({"owners": rows})
 
-    def _live(self, group: str) -> dict[str, _Member]:
+    def _live_members(self, group: str) -> dict[str, _Member]:
         members = self.members.setdefault(group, {})
         for name in [n for n, m in members.items() if m.deadline < time.monotonic()]:
             del members[name]
             self.generation += 1
         return members
 
-    def _dealt(self, group: str) -> list[tuple[str, int, str]]:
-        members = self._live(group)
+    def _assignments(self, group: str) -> list[tuple[str, int, str]]:
+        members = self._live_members(group)
         topics = sorted({topic for member in members.values() for topic in member.topics})
         names = sorted(members)
-        places = [(topic, part) for topic in topics for part in range(PARTS)]
+        places = [(topic, part) for topic in topics for part in range(PARTITIONS)]
         # Counted with the topic, so that first partitions do not all go to one.
         return [
             (topic, part, names[(part + topics.index(topic)) % len(names)])
--- a/standins/service.py
+++ b/standins/service.py
@@ -45,16 +45,16 @@
         if self.faults.refuse:
             refusal = {"x-not-run": "true", "x-request-id": request_id}
             return json_answer({"error": "not run"}, 503, **refusal)
-        if self._spend("cut_before"):
+        if self._consume_fault("cut_before"):
             raise ConnectionAbortedError
         self.journal.append(call.headers.get("idempotency-key", request_id))
         if self.faults.slow_ms:
             gevent.sleep(self.faults.slow_ms / 1e3)
-        if self._spend("cut_after"):
+        if self._consume_fault("cut_after"):
             raise ConnectionAbortedError
-        if self._spend("crossed"):
+        if self._consume_fault("crossed"):
             request_id = "another-request"
-        status = 500 if self._spend("fail") else 200
+        status = 500 if self._consume_fault("fail") else 200
         answer = {
             "path": call.path,
             "method": call.method,
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -24,9 +24,11 @@
         super().__init__(WeightFaults())
         self.faults: WeightFaults
         self.loading = 0
-        self.most_loading = 0
+        self.max_concurrent_loads = 0
         self.paths["/weights"] = self._weights
-        self.paths["/stats"] = lambda _call: json_answer({"most_loading": self.most_loading})
+        self.paths["/stats"] = lambda _call: json_answer(
+            {"most_loading": self.max_concurrent_loads}
+        )
 
     def _weights(self, call: Call) -> Answer:
         if self.faults.down:
@@ -34,7 +36,7 @@
         if call.query.get("version", "") in self.faults.missing_versions.split(","):
             return Answer(404)
         self.loading += 1
-        self.most_loading = max(self.most_loading, self.loading)
+        self.max_concurrent_loads = max(self.max_concurrent_loads, self.loading)
         try:
             gevent.sleep(self.faults.load_ms / 1e3 * max(1.0, self.loading / 2))
         finally:
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -23,7 +23,7 @@
 from agaterail.timers import ManualTimerService
 from agaterail.util.address import Address
 
-PARTS = (
+CONTROLLER_MODULES = (
     "agaterail.controllers.tables",
     "agaterail.controllers.hosts",
     "agaterail.controllers.startup",
@@ -35,7 +35,7 @@
     return f"10.0.{number // 250}.{number % 250 + 1}:1"
 
 
-def run_now(function: Callable[..., None], *arguments: object) -> None:
+def run_inline(function: Callable[..., None], *arguments: object) -> None:
     function(*arguments)
 
 
@@ -73,11 +73,11 @@
             log_store=self.log,
             host_list=FixedHostList(self.count),
             peers=Peers(own, transport, MemoryTransport(self.network, own), "s"),
-            parts=PARTS,
+            parts=CONTROLLER_MODULES,
         )
         startup = app.controllers["startup"]
         assert isinstance(startup, StartupController)
-        startup.spawn = run_now
+        startup.spawn = run_inline
         startup.random = random.Random(self.random.random())
         tables_controller(app).random = random.Random(self.random.random())
         snapshots = app.controllers["snapshots"]
@@ -111,7 +111,7 @@
             for number in sorted(self.apps):
                 self.step(number)
 
-    def floor_for(self, number: int) -> int:
+    def newest_peer_offset(self, number: int) -> int:
         """Newest offset that a peer serves which answers."""
         return max(
             (
@@ -122,7 +122,7 @@
             default=NO_VERSION,
         )
 
-    def log_has_a_way(self) -> bool:
+    def log_is_replayable(self) -> bool:
         """Tell whether the log alone leads a new reader to the present."""
         reader = TablesReader(self.log)
         down, stale = self.log.down, self.log.stale_records
@@ -131,18 +131,18 @@
         self.log.down, self.log.stale_records = down, stale
         return found
 
-    def end(self) -> int:
+    def log_end(self) -> int:
         return self.log.next_offset.get(TABLES_STREAM, 0)
 
-    def first(self) -> int:
+    def log_start(self) -> int:
         kept = self.log.streams.get(TABLES_STREAM, [])
-        return kept[0].offset if kept else self.end()
+        return kept[0].offset if kept else self.log_end()
 
-    def holders(self) -> set[int]:
+    def gapless_daemons(self) -> set[int]:
         """Daemons that can still go on without a hole."""
         return {
             number
             for number, app in self.apps.items()
-            if tables_controller(app).reader.tables.through + 1 >= self.first()
+            if tables_controller(app).reader.tables.through + 1 >= self.log_start()
             and app.tables.through != NO_VERSION
         }
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -139,7 +139,7 @@
             entry = target.registration(service, address)
             self.store.put("keyed.servers", instance, entry)
 
-        target.loaded_hook = register
+        target.on_loaded = register
         register()
 
     def add_gateway(self, name, bounds) -> Daemon:
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -178,7 +178,7 @@
         self.addCleanup(fleet.stop)
         engines = [fleet.targets["e-0"], fleet.targets["e-1"]]
         for engine in engines:
-            engine.named = 2
+            engine.announced_version = 2
         fleet.wait(lambda: any(d.membership.leads for d in fleet.daemons))
         value = b'{"model": "%s", "version": 2}' % MODEL.encode()
         fleet.store.put("keyed.op", f"version/{MODEL}", value)
--- a/tests/test_agaterail/test_gateway/test_forwarder.py
+++ b/tests/test_agaterail/test_gateway/test_forwarder.py
@@ -109,8 +109,8 @@
         answer = self.ask_stream()
         self.assertEqual(answer.events, WHOLE)
         self.assertEqual(other.runs[0].headers["last-event-id"], "3")
-        self.fleet.wait(lambda: engine.runs[0].ended == "left")
-        self.assertLess(engine.runs[0].ended_at - other.runs[0].at, LEFT_BEHIND_S)
+        self.fleet.wait(lambda: engine.runs[0].outcome == "left")
+        self.assertLess(engine.runs[0].ended_at - other.runs[0].started_at, LEFT_BEHIND_S)
 
     def test_an_engine_that_goes_on_first_keeps_the_stream(self):
         """Events of an engine were lost or mixed with those of the engine asked meanwhile."""
@@ -119,8 +119,8 @@
         other.pause_before, other.pause_s = 0, 1.0
         answer = self.ask_stream()
         self.assertEqual(answer.events, WHOLE)
-        self.assertEqual(engine.runs[0].ended, "whole")
-        self.assertEqual(other.runs[0].ended, "left")
+        self.assertEqual(engine.runs[0].outcome, "whole")
+        self.assertEqual(other.runs[0].outcome, "left")
 
     def test_an_engine_that_breaks_while_another_is_asked_is_left(self):
         """The stream waited for an engine that had gone."""
@@ -141,7 +141,7 @@
         sock.sendall(self.fleet.request("/resumed/x", stream=True))
         self.fleet.wait(lambda: other.runs)
         sock.close()
-        self.fleet.wait(lambda: engine.runs[0].ended == other.runs[0].ended == "left", 1.0)
+        self.fleet.wait(lambda: engine.runs[0].outcome == other.runs[0].outcome == "left", 1.0)
         targets = self.fleet.daemons[0].book.targets.values()
         self.assertEqual([target.in_flight for target in targets], [0] * len(targets))
 
--- a/tests/test_agaterail/test_gateway/test_versionhistory.py
+++ b/tests/test_agaterail/test_gateway/test_versionhistory.py
@@ -210,7 +210,7 @@
         self.addCleanup(fleet.stop)
         for name in ("e-0", "e-1"):
             fleet.targets[name].load_s = 60.0
-            fleet.targets[name].named = 2
+            fleet.targets[name].announced_version = 2
         value = b'{"model": "%s", "version": 2}' % MODEL.encode()
         fleet.wait(lambda: fleet.daemons[0].membership.leads)
         fleet.store.put("keyed.op", f"version/{MODEL}", value)
--- a/tests/test_agaterail/test_tables_stateful.py
+++ b/tests/test_agaterail/test_tables_stateful.py
@@ -181,16 +181,16 @@
         held = [
             app.controllers["tables"].reader.tables.through
             for number, app in self.cluster.apps.items()
-            if number in self.cluster.holders()
+            if number in self.cluster.gapless_daemons()
         ]
         limit = max(held, default=NO_VERSION) + 1
-        first = self.cluster.first()
+        first = self.cluster.log_start()
         if limit > first:
             self.log.expire(TABLES_STREAM, first + round(part * (limit - first)))
 
     @rule()
     def expire_old_chunks(self):
-        if not self.cluster.holders():
+        if not self.cluster.gapless_daemons():
             return
         end = self.log.next_offset.get(SNAPSHOTS_STREAM, 0)
         self.log.expire(SNAPSHOTS_STREAM, end - 1)
@@ -199,8 +199,8 @@
     def kill(self, number):
         # The last daemon that holds tables which the log has lost is not killed,
         # because nothing could restore them.
-        others = self.cluster.holders() - {number}
-        if number in self.cluster.apps and (others or self.cluster.log_has_a_way()):
+        others = self.cluster.gapless_daemons() - {number}
+        if number in self.cluster.apps and (others or self.cluster.log_is_replayable()):
             self.cluster.kill(number)
 
     @rule(number=numbers)
@@ -219,7 +219,7 @@
             self.kill(number)
         if number in self.cluster.apps:
             return
-        floor = self.cluster.floor_for(number)
+        floor = self.cluster.newest_peer_offset(number)
         app = self.cluster.start(number)
         for _ in range(20):
             self.cluster.timers.advance(0.1)
@@ -251,10 +251,10 @@
                 self.cluster.start(number)
         self.cluster.run(200, pause_s=2.0)
         self.serves_only_what_was_accepted_and_never_goes_back()
-        last = self.log.expected_routes[self.cluster.end() - 1]
+        last = self.log.expected_routes[self.cluster.log_end() - 1]
         for app in self.cluster.apps.values():
             assert routes_of(app.tables) == last, "a daemon did not converge"
-            assert app.tables.through == self.cluster.end() - 1
+            assert app.tables.through == self.cluster.log_end() - 1
 
 
 TablesMachine.TestCase.settings = settings(max_examples=EXAMPLES, stateful_step_count=STEPS)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -9,7 +9,7 @@
 
 
 class LinksTest(unittest.TestCase):
-    def test_each_link_between_pages_leads_somewhere(self):
+    def test_every_relative_link_resolves(self):
         missing = []
         for page in [ROOT / "README.md", *(ROOT / "docs").rglob("*.md")]:
             for target in LINK.findall(page.read_text(encoding="utf-8")):
--- a/tests/test_standins/test_engine.py
+++ b/tests/test_standins/test_engine.py
@@ -18,7 +18,7 @@
     def __init__(self):
         self.keys = []
 
-    def leading(self, keys):
+    def match_prefix(self, keys):
         count = next(
             (index for index, key in enumerate(keys) if key not in self.keys), len(keys)
         )
@@ -47,17 +47,17 @@
                 cache.store(keys)
                 naive.store(keys)
             else:
-                self.assertEqual(cache.leading(keys), naive.leading(keys))
+                self.assertEqual(cache.match_prefix(keys), naive.match_prefix(keys))
             self.assertEqual(list(cache.keys), naive.keys)
 
     @given(st.lists(st.tuples(st.sampled_from(KEYS), st.integers(1, 5))))
-    def test_events_tell_the_contents(self, steps):
-        cache, told = BlockCache(CAPACITY), set()
+    def test_events_reproduce_cache_contents(self, steps):
+        cache, reported = BlockCache(CAPACITY), set()
         for branch, length in steps:
             cache.store(chain(branch, length))
         for _, _, kind, keys in cache.events:
-            told = told | set(keys) if kind == "stored" else told - set(keys)
-        self.assertEqual(told, {key.hex() for key in cache.keys})
+            reported = reported | set(keys) if kind == "stored" else reported - set(keys)
+        self.assertEqual(reported, {key.hex() for key in cache.keys})
 
 
 def job(keys):
@@ -65,14 +65,14 @@
 
 
 class EngineTest(unittest.TestCase):
-    def test_exact_queue_counts_what_waiting_jobs_will_store(self):
+    def test_predicted_queue_counts_blocks_of_waiting_jobs(self):
         engine = EngineStandIn(EngineConfig(block_tokens=50, prefill_ms_per_token=1.0))
         engine.waiting = [job((b"a", b"b")), job((b"a", b"c"))]
-        held, queue_ms = engine._foresee()
+        held, queue_ms = engine._predict_cache_and_queue()
         self.assertEqual(queue_ms, 100 + 50)
         self.assertIn(b"c", held)
 
-    def test_prefill_that_a_crash_overtakes_fills_no_cache(self):
+    def test_prefill_interrupted_by_crash_is_not_cached(self):
         # The caller's stream is cut. The engine crashes while it computes a
         # prompt and comes back empty; if the old computation still filled the
         # new cache, hits would be reported that no engine could give.
--- a/tests/test_standins/test_load.py
+++ b/tests/test_standins/test_load.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from standins.load import Seen, _judge
+from standins.load import StreamResult, _check_stream
 
 DONE = b"data: [DONE]\n\n"
 ERROR = b'data: {"error": {"code": "target_lost"}}\n\n'
@@ -15,16 +15,16 @@
 
 
 def judged(*frames, max_tokens=3):
-    seen = Seen()
-    _judge(seen, b"".join(frames), max_tokens)
-    return seen
+    result = StreamResult()
+    _check_stream(result, b"".join(frames), max_tokens)
+    return result
 
 
-class JudgeTest(unittest.TestCase):
-    def test_a_whole_stream_in_order(self):
+class CheckStreamTest(unittest.TestCase):
+    def test_complete_stream_in_order_passes(self):
         self.assertTrue(judged(token(0), token(1), token(2), DONE).whole)
 
-    def test_missing_repeated_and_foreign_tokens_are_seen(self):
+    def test_missing_repeated_and_foreign_tokens_are_detected(self):
         for frames in (
             (token(0), token(2), DONE),
             (token(0), token(0), token(1), token(2), DONE),
@@ -33,7 +33,7 @@
         ):
             self.assertFalse(judged(*frames).whole)
 
-    def test_an_error_event_is_told_from_a_cut(self):
+    def test_error_event_is_distinguished_from_cut_stream(self):
         # Both end without the final frame, but only the first tells the caller
         # that the answer is not whole and why.
         self.assertIn("target_lost", judged(token(0), ERROR).error)
--- a/tests/test_standins/test_platform_engine.py
+++ b/tests/test_standins/test_platform_engine.py
@@ -8,7 +8,7 @@
 
 
 class PlatformTargetStandInTest(unittest.TestCase):
-    def test_a_request_that_was_cut_is_not_run(self):
+    def test_truncated_request_is_not_run(self):
         # A proxy resets a connection in the middle of a head or a body. Taken
         # for whole, a run without an id would be blamed on the gateway; a seed
         # of the soak showed one.
@@ -23,7 +23,7 @@
             gevent.sleep(0.05)
         self.assertEqual(target.runs, [])
 
-    def test_a_header_that_comes_twice_shows(self):
+    def test_repeated_header_values_are_joined(self):
         # A gateway that passed a caller's own header on beside the one it sets
         # would look right to a target that reads only the last.
         target = PlatformTargetStandIn("t")
--- a/tests/test_tools/test_oracle.py
+++ b/tests/test_tools/test_oracle.py
@@ -30,14 +30,14 @@
         targets = [TargetState(address) for address in self.addresses]
         return OraclePolicy().choose(placement, targets)
 
-    def test_it_weighs_exact_queues_against_exact_caches(self):
+    def test_exact_queue_is_weighed_against_exact_cache(self):
         # The second engine holds the prefix and has 100 ms of work before it;
         # the first is idle and would compute 45 tokens, 40 of them again.
         self.engines[1].cache.store(KEYS)
-        self.engines[1]._foresee = lambda: (self.engines[1].cache.keys, 100.0)
+        self.engines[1]._predict_cache_and_queue = lambda: (self.engines[1].cache.keys, 100.0)
         for weight, expected in ((2.0, self.addresses[0]), (3.0, self.addresses[1])):
             self.assertEqual(self.choose(weight).address, expected)
 
-    def test_an_engine_that_does_not_answer_is_left_out(self):
+    def test_unreachable_engine_is_skipped(self):
         self.engines[0].stop()
         self.assertEqual(self.choose(3.0).address, self.addresses[1])
--- a/tests/test_tools/test_soak.py
+++ b/tests/test_tools/test_soak.py
@@ -16,15 +16,15 @@
 
 
 class SoakTest(unittest.TestCase):
-    def test_promises_hold_under_a_short_series_of_faults(self):
+    def test_guarantees_hold_under_short_fault_series(self):
         for seed in SEEDS:
             with self.subTest(seed), tempfile.TemporaryDirectory() as folder:
-                found = soak(seed, SECONDS, 3, 8, pathlib.Path(folder))
-                self.assertEqual(found.problems, [])
+                result = soak(seed, SECONDS, 3, 8, pathlib.Path(folder))
+                self.assertEqual(result.problems, [])
 
-    def test_a_start_that_takes_too_long_is_a_finding(self):
+    def test_slow_start_is_reported_as_problem(self):
         """A series of seeds ended at a late start, and nothing said how far it had come."""
-        limits = mock.patch.multiple(run, START_S=0.0, START_S_PER_GATEWAY=0.0)
+        limits = mock.patch.multiple(run, START_TIMEOUT_S=0.0, START_TIMEOUT_S_PER_GATEWAY=0.0)
         with limits, tempfile.TemporaryDirectory() as folder:
-            found = soak(1, SECONDS, 1, 1, pathlib.Path(folder))
-        self.assertIn("g-0: not ready after 0.0 s", found.problems[0])
+            result = soak(1, SECONDS, 1, 1, pathlib.Path(folder))
+        self.assertIn("g-0: not ready after 0.0 s", result.problems[0])
--- a/tests/test_tools/test_soak_proxy.py
+++ b/tests/test_tools/test_soak_proxy.py
@@ -10,7 +10,7 @@
 
 
 class ProxyTest(unittest.TestCase):
-    def test_a_target_that_pauses_keeps_its_connection(self):
+    def test_connection_survives_pause_beyond_connect_timeout(self):
         """The proxy cut answers that paused for its connect timeout; gateways were blamed."""
         target = PlatformTargetStandIn("e-0", "m1")
         target.pause_before, target.pause_s = 4, CONNECT_TIMEOUT_S + 0.3
--- a/tests/tls.py
+++ b/tests/tls.py
@@ -14,7 +14,7 @@
 from cryptography.x509.oid import NameOID
 
 DAY = datetime.timedelta(days=1)
-START = datetime.datetime(2020, 1, 1, tzinfo=datetime.UTC)
+NOT_BEFORE = datetime.datetime(2020, 1, 1, tzinfo=datetime.UTC)
 
 
 @attrs.frozen
@@ -37,8 +37,8 @@
         .issuer_name(name)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(START)
-        .not_valid_after(START + 36500 * DAY)
+        .not_valid_before(NOT_BEFORE)
+        .not_valid_after(NOT_BEFORE + 36500 * DAY)
         .add_extension(x509.SubjectAlternativeName(names), critical=False)
         .add_extension(x509.BasicConstraints(ca=True, path_length=None), critical=True)
         .sign(key, hashes.SHA256())
--- a/tools/bench/cell.py
+++ b/tools/bench/cell.py
@@ -14,7 +14,7 @@
 import gevent
 from gevent.pool import Group
 
-from standins.load import Seen, StreamClient
+from standins.load import StreamClient, StreamResult
 from tools.bench import figures, probe, tune
 from tools.bench.figures import DaemonCounts, EngineCounts, Figures
 from tools.bench.workloads import (
@@ -139,14 +139,14 @@
             "capacity_blocks": CAPACITY_BLOCKS,
             "prefill_ms_per_token": PREFILL_MS_PER_TOKEN,
         }
-        self.fleet.control(self.fleet.kv_store, ms_per_block=TRANSFER_MS_PER_BLOCK)
+        self.fleet.set_faults(self.fleet.kv_store, ms_per_block=TRANSFER_MS_PER_BLOCK)
         self.fleet.start_engines(ENGINES, engine)
         with tempfile.TemporaryDirectory() as folder:
             apply_tables(self.fleet, self._tables(), folder)
         self.fleet.start_daemons(DAEMONS, self.flags)
         for engine_address in self.fleet.engines:
             lags = {"event_delay_ms": EVENT_DELAY_MS, "load_lag_ms": LOAD_LAG_MS}
-            self.fleet.control(engine_address, **lags)
+            self.fleet.set_faults(engine_address, **lags)
 
     @property
     def flags(self) -> list[str]:
@@ -177,17 +177,17 @@
 
     def _warm_up(self, trace: Trace) -> None:
         for engine in self.fleet.engines:
-            self.fleet.control(engine, prefill_factor=WARM_UP_FACTOR)
+            self.fleet.set_faults(engine, prefill_factor=WARM_UP_FACTOR)
         self._send(trace.warm_up(WARM_UP_REQUESTS, WARM_UP_RATE))
         self.lateness.clear()
         for engine in self.fleet.engines:
-            self.fleet.control(engine, prefill_factor=1.0)
+            self.fleet.set_faults(engine, prefill_factor=1.0)
         if self.cell.fault in STANDING_FAULTS:
             for engine in self.fleet.engines:
-                self.fleet.control(engine, **STANDING_FAULTS[self.cell.fault])
+                self.fleet.set_faults(engine, **STANDING_FAULTS[self.cell.fault])
         gevent.sleep(SETTLE_S)
 
-    def _send(self, arrivals: Sequence[Arrival]) -> list[Seen]:
+    def _send(self, arrivals: Sequence[Arrival]) -> list[StreamResult]:
         started = time.monotonic()
         group = Group()
         asking = []
@@ -197,11 +197,13 @@
             asking.append(group.spawn(self._ask, arrival))
         group.join(timeout=self.profile.deadline_ms / 1e3 + END_MARGIN_S)
         return [
-            greenlet.value if greenlet.successful() else Seen(error="no answer in time")
+            greenlet.value
+            if greenlet.successful()
+            else StreamResult(error="no answer in time")
             for greenlet in asking
         ]
 
-    def _ask(self, arrival: Arrival) -> Seen:
+    def _ask(self, arrival: Arrival) -> StreamResult:
         daemons = [
             daemon.address
             for daemon in self.fleet.daemons
@@ -235,7 +237,7 @@
 
     def _figures(
         self,
-        seen: Sequence[Seen],
+        seen: Sequence[StreamResult],
         seconds: float,
         before: Sequence[EngineCounts],
         after: Sequence[EngineCounts],
@@ -311,12 +313,12 @@
     )
 
 
-def _hit_rate_of(seen: Sequence[Seen]) -> float:
+def _hit_rate_of(seen: Sequence[StreamResult]) -> float:
     prompt = sum(item.prompt_tokens for item in seen if item.whole)
     return sum(item.cached_tokens for item in seen if item.whole) / max(1, prompt)
 
 
-def _error_of(seen: Seen) -> str:
+def _error_of(seen: StreamResult) -> str:
     try:
         return str(json.loads(seen.error)["error"]["code"])
     except (ValueError, KeyError, TypeError):
@@ -335,16 +337,16 @@
 
 
 def _log_down(runner: Runner) -> None:
-    runner.fleet.control(runner.fleet.log, down=True)
+    runner.fleet.set_faults(runner.fleet.log, down=True)
 
 
 def _store_down(runner: Runner) -> None:
-    runner.fleet.control(runner.fleet.kv_store, down=True)
+    runner.fleet.set_faults(runner.fleet.kv_store, down=True)
 
 
 def _store_slow(runner: Runner) -> None:
     slow = TRANSFER_MS_PER_BLOCK * STORE_SLOW_FACTOR
-    runner.fleet.control(runner.fleet.kv_store, ms_per_block=slow)
+    runner.fleet.set_faults(runner.fleet.kv_store, ms_per_block=slow)
 
 
 def _rolling_restart(runner: Runner) -> None:
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -14,7 +14,7 @@
 import gevent
 from gevent.pool import Pool as GreenletPool
 
-from standins.load import Seen, StreamClient, Workload
+from standins.load import StreamClient, StreamResult, Workload
 from tools.fleet import MODEL, Fleet, api_key_of, apply_tables, tables_toml
 
 REQUESTS = 300
@@ -36,12 +36,12 @@
         fleet.start_engines(ENGINES, ENGINE)
         apply_tables(fleet, tables_toml(fleet.engines, WORKSPACES, POOL, {}), folder)
         fleet.start_daemons(DAEMONS, DAEMON_FLAGS)
-        seen = _send(fleet)
-    _print(seen, time.monotonic() - started)
-    sys.exit(0 if all(item.whole for item in seen) else 1)
+        results = _send_requests(fleet)
+    _print_results(results, time.monotonic() - started)
+    sys.exit(0 if all(item.whole for item in results) else 1)
 
 
-def _send(fleet: Fleet) -> list[Seen]:
+def _send_requests(fleet: Fleet) -> list[StreamResult]:
     workload = Workload(SEED, workspaces=WORKSPACES)
     clients = {
         (daemon.address, workspace): StreamClient(daemon.address, api_key_of(workspace), MODEL)
@@ -57,20 +57,20 @@
     return [greenlet.get() for greenlet in sent]
 
 
-def _print(seen: list[Seen], seconds: float) -> None:
-    for number, item in enumerate(seen):
+def _print_results(results: list[StreamResult], seconds: float) -> None:
+    for number, item in enumerate(results):
         state = "whole" if item.whole else f"FAILED {item.error[:100]}"
         print(
             f"request {number:3d}: {state}, {item.tokens} tokens, "
             f"first token {item.first_token_ms:.0f} ms, cached {item.cached_tokens}/"
             f"{item.prompt_tokens}, target {item.target}, reason {item.reason}"
         )
-    whole = [item for item in seen if item.whole]
+    whole = [item for item in results if item.whole]
     prompt_tokens = sum(item.prompt_tokens for item in whole)
     hit_rate = sum(item.cached_tokens for item in whole) / max(1, prompt_tokens)
     first = sorted(item.first_token_ms for item in whole) or [0.0]
-    reasons = collections.Counter(item.reason for item in seen)
-    print(f"whole streams: {len(whole)} of {len(seen)}")
+    reasons = collections.Counter(item.reason for item in results)
+    print(f"whole streams: {len(whole)} of {len(results)}")
     print(f"prefix hit rate: {hit_rate:.3f}")
     for part in (0.5, 0.95, 0.99):
         print(f"first token p{part * 100:.0f}: {first[int(len(first) * part)]:.0f} ms")
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -72,8 +72,8 @@
         self.services: list[str] = []
         self.daemons: list[Daemon] = []
         self.host = host
-        self.fixed = first_port > 0
-        self.port = first_port or free_port_base()
+        self.fixed_ports = first_port > 0
+        self.last_port = first_port or free_port_base()
 
     def __enter__(self) -> Fleet:
         return self
@@ -89,10 +89,10 @@
     def stop(self) -> None:
         """End all processes of the fleet, the daemons before the platform."""
         daemons = [daemon.process for daemon in self.daemons]
-        self._end(daemons)
-        self._end([process for process in self.processes if process not in daemons])
+        self._terminate(daemons)
+        self._terminate([process for process in self.processes if process not in daemons])
 
-    def _end(self, processes: Sequence[subprocess.Popen]) -> None:
+    def _terminate(self, processes: Sequence[subprocess.Popen]) -> None:
         for process in processes:
             process.terminate()
         end = time.monotonic() + STOP_TIMEOUT_S
@@ -127,7 +127,7 @@
     def start_engines(self, count: int, properties: Mapping[str, object]) -> None:
         """Start engines and put them on the host list."""
         for number in range(count):
-            wanted = self.next_address() if self.fixed else "127.0.0.1:0"
+            wanted = self.next_address() if self.fixed_ports else "127.0.0.1:0"
             address = self.start_stand_in("engine", properties, wanted)
             self.engines.append(address)
             self.put_host(address, "engine", "live", DOMAINS[number % len(DOMAINS)])
@@ -168,17 +168,17 @@
 
     def next_address(self) -> str:
         """Return a loopback address that no process of the fleet uses."""
-        self.port += 1
-        while not self.fixed and not is_free(self.port):
-            self.port += 1
-        return f"{self.host}:{self.port}"
+        self.last_port += 1
+        while not self.fixed_ports and not is_free(self.last_port):
+            self.last_port += 1
+        return f"{self.host}:{self.last_port}"
 
     def put_host(self, address: str, role: str, state: str, domain: str) -> None:
         """Change the host list."""
         fields = {"address": address, "role": role, "state": state, "domain": domain}
         call(self.hosts, "POST", "/hosts", fields)
 
-    def control(self, address: str, **faults: object) -> None:
+    def set_faults(self, address: str, **faults: object) -> None:
         """Switch faults of a stand-in."""
         call(address, "POST", "/control", faults)
 
--- a/tools/measure_apply.py
+++ b/tools/measure_apply.py
@@ -109,10 +109,10 @@
 
     def _outage(self, number: int) -> float:
         """Send an edit while the log is down; count from the log's return."""
-        self.fleet.control(self.fleet.log, down=True)
+        self.fleet.set_faults(self.fleet.log, down=True)
         submitted = gevent.spawn(self._submit, f"outage-{number}")
         gevent.sleep(OUTAGE_S + self.random.uniform(0, 2))
-        self.fleet.control(self.fleet.log, down=False)
+        self.fleet.set_faults(self.fleet.log, down=False)
         started = time.monotonic()
         self._wait_everywhere(submitted.get())
         return time.monotonic() - started
--- a/tools/measure_drain.py
+++ b/tools/measure_drain.py
@@ -19,7 +19,7 @@
 
 import gevent
 
-from standins.load import Prompt, Seen, StreamClient
+from standins.load import Prompt, StreamClient, StreamResult
 from tools.fleet import MODEL, Fleet, api_key_of, apply_tables, call, tables_toml
 
 ENGINES = 3
@@ -49,7 +49,7 @@
 
 
 def _run(fleet: Fleet, long: int) -> None:
-    seen: collections.defaultdict[str, list[Seen]] = collections.defaultdict(list)
+    seen: collections.defaultdict[str, list[StreamResult]] = collections.defaultdict(list)
     draining, leaving = fleet.daemons[0], fleet.engines[0]
     jobs = [
         gevent.spawn(_ask, draining.address, number, LONG_TOKENS, seen["long"])
@@ -86,7 +86,7 @@
     )
 
 
-def _ask(address: str, number: int, tokens: int, results: list[Seen]) -> None:
+def _ask(address: str, number: int, tokens: int, results: list[StreamResult]) -> None:
     messages = ({"role": "user", "content": f"question {number}"},)
     prompt = Prompt(workspace=0, customer=0, messages=messages)
     client = StreamClient(address, api_key_of(0), MODEL)
--- a/tools/measure_startup.py
+++ b/tools/measure_startup.py
@@ -120,9 +120,9 @@
         _apply(fleet, folder, tables_toml(fleet.engines, rows, {}, {}))
         fleet.start_daemons(OLD_DAEMONS)
         _restarts(fleet, "log_up_peers_up", rows)
-        fleet.control(fleet.log, down=True)
+        fleet.set_faults(fleet.log, down=True)
         _restarts(fleet, "log_down_peers_up", rows)
-        fleet.control(fleet.log, down=False)
+        fleet.set_faults(fleet.log, down=False)
         for daemon in fleet.daemons:
             daemon.process.kill()
             daemon.process.wait()
--- a/tools/oracle.py
+++ b/tools/oracle.py
@@ -24,11 +24,11 @@
     from agaterail.application import Application
     from agaterail.targets import TargetState
 
-ASK_TIMEOUT_S = 1.0
+QUERY_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
-class Exact:
+class ExactState:
     """Exact state of an engine for one prompt."""
 
     address: str
@@ -52,26 +52,26 @@
         # In hash order, so that equal costs do not all go to one engine.
         addresses = [state.address for state in targets]
         order = rendezvous.ranked(placement.prefix.placement_key, addresses, len(addresses))
-        asked = [gevent.spawn(self._ask, address, keys) for address in order]
-        gevent.joinall(asked)
-        known = [greenlet.value for greenlet in asked if greenlet.value is not None]
+        queries = [gevent.spawn(self._query, address, keys) for address in order]
+        gevent.joinall(queries)
+        known = [greenlet.value for greenlet in queries if greenlet.value is not None]
         decisions = [_decision(placement, exact) for exact in known]
         return min(decisions, key=lambda item: item[0], default=(0.0, None))[1]
 
-    def _ask(self, address: str, keys: list[str]) -> Exact | None:
+    def _query(self, address: str, keys: list[str]) -> ExactState | None:
         connections = self.connections.get(address)
         if connections is None:
             connections = HttpConnections(Address.parse(address))
             self.connections[address] = connections
         body = json.dumps({"keys": keys}).encode()
-        answer = connections.call("POST", "/exact", body, timeout_s=ASK_TIMEOUT_S)
+        answer = connections.call("POST", "/exact", body, timeout_s=QUERY_TIMEOUT_S)
         if not isinstance(answer, Success) or answer.unwrap()[0] != 200:
             return None
         fields = json.loads(answer.unwrap()[1])
-        return Exact(address, fields["blocks"], fields["queue_ms"])
+        return ExactState(address, fields["blocks"], fields["queue_ms"])
 
 
-def _decision(placement: Placement, exact: Exact) -> tuple[float, Decision]:
+def _decision(placement: Placement, exact: ExactState) -> tuple[float, Decision]:
     assert placement.prefix is not None
     pool = placement.pool
     missing = placement.prefix.prompt_tokens - exact.blocks * pool.block_tokens
--- a/tools/overhead.py
+++ b/tools/overhead.py
@@ -28,7 +28,7 @@
 
 from agaterail.util.address import Address
 from agaterail.util.httpconn import HttpConnections
-from standins.load import Seen, StreamClient, Workload
+from standins.load import StreamClient, StreamResult, Workload
 from tools.fleet import MODEL, Daemon, Fleet, api_key_of, apply_tables, tables_toml
 
 SEED = 11
@@ -86,8 +86,8 @@
 def _measure_first_token(fleet: Fleet) -> int:
     workload = Workload(SEED, WORKSPACES, instruction_tokens=400, history_tokens=600)
     daemon = fleet.daemons[0]
-    direct: list[Seen] = []
-    routed: list[Seen] = []
+    direct: list[StreamResult] = []
+    routed: list[StreamResult] = []
     _send_turn([daemon.address], workload, 1.0)  # first requests open connections
     cpu_s, started = 0.0, 0.0
     for _ in range(TURNS // 2):
@@ -105,7 +105,9 @@
     return sum(not item.whole for item in (*direct, *routed))
 
 
-def _send_turn(addresses: Sequence[str], workload: Workload, seconds: float) -> list[Seen]:
+def _send_turn(
+    addresses: Sequence[str], workload: Workload, seconds: float
+) -> list[StreamResult]:
     clients = [
         [StreamClient(address, api_key_of(number), MODEL) for number in range(WORKSPACES)]
         for address in addresses
@@ -181,13 +183,13 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def _described(seen: list[Seen]) -> str:
+def _described(seen: list[StreamResult]) -> str:
     whole = sum(item.whole for item in seen)
     quantiles = ", ".join(f"p{q * 100:.0f} {_quantile(seen, q):.2f} ms" for q in (0.5, 0.99))
     return f"{quantiles}, whole {whole} of {len(seen)}"
 
 
-def _quantile(seen: list[Seen], part: float) -> float:
+def _quantile(seen: list[StreamResult], part: float) -> float:
     times = sorted(item.first_token_ms for item in seen)
     return times[int(len(times) * part)]
 
--- a/tools/overload.py
+++ b/tools/overload.py
@@ -18,27 +18,27 @@
 import attrs
 import gevent
 
-from standins.load import Prompt, Seen, StreamClient, Workload
+from standins.load import Prompt, StreamClient, StreamResult, Workload
 from tools.fleet import MODEL, Fleet, api_key_of, apply_tables, call, tables_toml
 
 ENGINES = 4
 WORKSPACES = 8
-LARGE = 0
-LARGE_SHARE = 0.6
+LARGE_WORKSPACE = 0
+LARGE_WORKSPACE_SHARE = 0.6
 PROMPT_TOKENS = 1000
 PREFILL_MS_PER_TOKEN = 0.1
 MAX_TOKENS = 8
 DEADLINE_MS = 3000
-SMALL_RATE = 0.1
+SMALL_LOAD_FRACTION = 0.1
 PERCENTILE = 0.95
 
 
 @attrs.define
-class Asked:
+class CallerResult:
     """One request and what its caller got."""
 
     workspace: int
-    seen: Seen
+    stream: StreamResult
 
 
 @attrs.frozen(kw_only=True)
@@ -78,25 +78,29 @@
     parser.add_argument("--seconds", type=float, default=8.0)
     arguments = parser.parse_args()
     with Fleet("error") as fleet, tempfile.TemporaryDirectory() as folder:
-        _start(fleet, folder)
-        runner = Runner(fleet, arguments.seed, arguments.seconds)
+        _start_fleet(fleet, folder)
+        runner = LoadRunner(fleet, arguments.seed, arguments.seconds)
         print(f"seed {arguments.seed}, {arguments.seconds:g} s, {capacity():g} requests/s")
-        runner.run("warm-up", 0.5 * capacity(), _mixed)
+        runner.run("warm-up", 0.5 * capacity(), _choose_mixed)
         phases = [
-            runner.run("1x", capacity(), _mixed),
-            runner.run("2x", 2 * capacity(), _mixed),
-            runner.run("4x", 4 * capacity(), _mixed),
-            runner.run("small alone", SMALL_RATE * capacity(), _small),
-            runner.run("small, flood 4x", (4 + SMALL_RATE) * capacity(), _flood),
+            runner.run("1x", capacity(), _choose_mixed),
+            runner.run("2x", 2 * capacity(), _choose_mixed),
+            runner.run("4x", 4 * capacity(), _choose_mixed),
+            runner.run("small alone", SMALL_LOAD_FRACTION * capacity(), _choose_small),
+            runner.run(
+                "small, flood 4x", (4 + SMALL_LOAD_FRACTION) * capacity(), _choose_flood
+            ),
         ]
         for phase in phases:
-            print(", ".join(f"{name} {_text(value)}" for name, value in _fields(phase)))
+            print(
+                ", ".join(f"{name} {_format_value(value)}" for name, value in _fields(phase))
+            )
         print(f"goodput 4x / 1x: {phases[2].goodput / phases[0].goodput:.2f}")
         ratio = phases[4].small_p95_ms / phases[3].small_p95_ms
         print(f"small p95 flooded / alone: {ratio:.2f}")
 
 
-class Runner:
+class LoadRunner:
     """Open-loop load on the first daemon of a fleet."""
 
     def __init__(self, fleet: Fleet, seed: int, seconds: float) -> None:
@@ -109,28 +113,30 @@
             for number in range(WORKSPACES)
         ]
 
-    def run(self, name: str, rate: float, choose: object) -> Phase:
+    def run(self, name: str, rate: float, choose_workspace: object) -> Phase:
         """Offer requests at a rate, with exponential gaps, and judge the answers."""
-        asked: list[Asked] = []
+        results: list[CallerResult] = []
         jobs = []
         end = time.monotonic() + self.seconds
         due = time.monotonic()
         while due < end:
             gevent.sleep(max(0.0, due - time.monotonic()))
-            workspace = choose(self.random)  # type: ignore[operator]
-            jobs.append(gevent.spawn(self._ask, workspace, asked))
+            workspace = choose_workspace(self.random)  # type: ignore[operator]
+            jobs.append(gevent.spawn(self._ask, workspace, results))
             due += self.random.expovariate(rate)
         gevent.joinall(jobs)
-        return _judge(name, asked, self._executions(), self.seconds)
+        return _summarize(name, results, self._executions(), self.seconds)
 
-    def _ask(self, workspace: int, asked: list[Asked]) -> None:
-        self.workload.asked += 1
-        name = f"w{workspace}q{self.workload.asked} "
+    def _ask(self, workspace: int, results: list[CallerResult]) -> None:
+        self.workload.question_count += 1
+        name = f"w{workspace}q{self.workload.question_count} "
         text = (name * PROMPT_TOKENS)[: PROMPT_TOKENS * 4]
         prompt = Prompt(
             workspace=workspace, customer=0, messages=({"role": "user", "content": text},)
         )
-        asked.append(Asked(workspace, self.clients[workspace].ask(prompt, MAX_TOKENS)))
+        results.append(
+            CallerResult(workspace, self.clients[workspace].ask(prompt, MAX_TOKENS))
+        )
 
     def _executions(self) -> set[str]:
         ran: set[str] = set()
@@ -140,7 +146,7 @@
         return ran
 
 
-def _start(fleet: Fleet, folder: str) -> None:
+def _start_fleet(fleet: Fleet, folder: str) -> None:
     fleet.start_platform()
     block_tokens = PROMPT_TOKENS // 10
     fleet.start_engines(
@@ -157,35 +163,45 @@
     fleet.start_daemons(1)
 
 
-def _mixed(rng: random.Random) -> int:
-    return LARGE if rng.random() < LARGE_SHARE else rng.randrange(1, WORKSPACES)
+def _choose_mixed(rng: random.Random) -> int:
+    return (
+        LARGE_WORKSPACE
+        if rng.random() < LARGE_WORKSPACE_SHARE
+        else rng.randrange(1, WORKSPACES)
+    )
 
 
-def _small(rng: random.Random) -> int:
+def _choose_small(rng: random.Random) -> int:
     return rng.randrange(1, WORKSPACES)
 
 
-def _flood(rng: random.Random) -> int:
-    return _small(rng) if rng.random() < SMALL_RATE / (4 + SMALL_RATE) else LARGE
+def _choose_flood(rng: random.Random) -> int:
+    return (
+        _choose_small(rng)
+        if rng.random() < SMALL_LOAD_FRACTION / (4 + SMALL_LOAD_FRACTION)
+        else LARGE_WORKSPACE
+    )
 
 
-def _judge(name: str, asked: list[Asked], ran: set[str], seconds: float) -> Phase:
+def _summarize(name: str, results: list[CallerResult], ran: set[str], seconds: float) -> Phase:
     good = [
-        item for item in asked if item.seen.whole and item.seen.first_token_ms <= DEADLINE_MS
+        item
+        for item in results
+        if item.stream.whole and item.stream.first_token_ms <= DEADLINE_MS
     ]
-    refused = [item for item in asked if item.seen.outcome == "not_run"]
-    small = [item for item in asked if item.workspace != LARGE]
-    first = [item.seen.first_token_ms for item in small if item.seen.whole]
+    refused = [item for item in results if item.stream.outcome == "not_run"]
+    small = [item for item in results if item.workspace != LARGE_WORKSPACE]
+    first = [item.stream.first_token_ms for item in small if item.stream.whole]
     return Phase(
         name=name,
-        offered=len(asked),
+        offered=len(results),
         goodput=len(good) / seconds,
         refused=len(refused),
-        failed=len(asked) - len(refused) - sum(item.seen.whole for item in asked),
-        untrue=sum(item.seen.request_id in ran for item in refused),
+        failed=len(results) - len(refused) - sum(item.stream.whole for item in results),
+        untrue=sum(item.stream.request_id in ran for item in refused),
         small_p95_ms=_percentile(first),
-        small_refused=sum(item.seen.outcome == "not_run" for item in small),
-        refusal_p95_ms=_percentile([item.seen.total_ms for item in refused]),
+        small_refused=sum(item.stream.outcome == "not_run" for item in small),
+        refusal_p95_ms=_percentile([item.stream.total_ms for item in refused]),
     )
 
 
@@ -198,7 +214,7 @@
     return [(field.name, getattr(phase, field.name)) for field in attrs.fields(Phase)]
 
 
-def _text(value: object) -> str:
+def _format_value(value: object) -> str:
     return f"{value:.1f}" if isinstance(value, float) else str(value)
 
 
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -28,7 +28,7 @@
     "tuple[TargetEntry, ...]": "list of {address, domain}",
     "PoolKind": "engine or service",
 }
-NOTE = "Written by `make reference` from the code; do not edit."
+GENERATED_NOTE = "Written by `make reference` from the code; do not edit."
 
 
 def main() -> None:
@@ -60,7 +60,7 @@
     """Return the page of the fields of both tables."""
     parts = []
     for kind, section in ((Pool, "pools"), (Route, "routes")):
-        meanings = _attributes_of(kind)
+        meanings = _documented_attributes(kind)
         rows = [
             (
                 f"`{field.name}`",
@@ -81,21 +81,28 @@
     """Return the page of the metrics."""
     rows = []
     for metric in METRICS:
-        members = "" if metric.members is None else ", ".join(_values(metric.members))
+        members = "" if metric.members is None else ", ".join(_member_values(metric.members))
         name = metric.name.replace("{}", "*")
         rows.append((f"`{name}`", metric.kind.value, metric.unit, metric.description, members))
     head = ("name", "kind", "unit", "meaning", "* is one of")
     return _page("Metrics (statsd)", f"Each name starts with `{PREFIX}.`.", head, rows)
 
 
-def _values(members: Iterable) -> list[str]:
+def _member_values(members: Iterable) -> list[str]:
     return [member.value for member in members]
 
 
 def _page(
     title: str, text: str, head: tuple[str, ...], rows: Iterable[tuple[str, ...]]
 ) -> str:
-    lines = [f"# {title}", "", f"{text} {NOTE}", "", _row(head), _row(["---"] * len(head))]
+    lines = [
+        f"# {title}",
+        "",
+        f"{text} {GENERATED_NOTE}",
+        "",
+        _row(head),
+        _row(["---"] * len(head)),
+    ]
     return "\n".join([*lines, *map(_row, rows), ""])
 
 
@@ -119,7 +126,7 @@
     return str(field.default)
 
 
-def _attributes_of(kind: type) -> dict[str, str]:
+def _documented_attributes(kind: type) -> dict[str, str]:
     """Return the meanings in the Attributes section of a class; others are empty."""
     meanings = dict.fromkeys((field.name for field in attrs.fields(kind)), "")
     _, _, section = inspect.cleandoc(kind.__doc__ or "").partition("Attributes\n----------\n")
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -58,7 +58,7 @@
     runner = unittest.TextTestRunner(resultclass=TimedResult, verbosity=1, buffer=True)
     result = runner.run(suite)
     assert isinstance(result, TimedResult)
-    known = _known_red()
+    known = _known_red_tests()
     broken = [*result.failures, *result.errors]
     red = [test.id() for test, _ in broken if test.id() in known]
     failed = len(broken) - len(red) + len(result.unexpectedSuccesses)
@@ -66,23 +66,23 @@
         print(f"slow: {seconds:.2f} s {name}")
     for name in red:
         print(f"known red: {name}")
-    for command in _known_commands():
+    for command in _known_red_commands():
         print(f"known red, not run here: {command}")
     passed = result.testsRun - len(broken) - len(result.skipped)
     print(f"{passed} passed, {failed} failed")
     sys.exit(1 if failed or len(known) > MAX_KNOWN_RED or not result.testsRun else 0)
 
 
-def _known_red() -> set[str]:
-    return {line.split()[0] for line in _known_lines()}
+def _known_red_tests() -> set[str]:
+    return {line.split()[0] for line in _known_red_lines()}
 
 
-def _known_commands() -> list[str]:
+def _known_red_commands() -> list[str]:
     """Return the lines that name no test but a command to run by hand."""
-    return [line for line in _known_lines() if not line.startswith("tests.")]
+    return [line for line in _known_red_lines() if not line.startswith("tests.")]
 
 
-def _known_lines() -> list[str]:
+def _known_red_lines() -> list[str]:
     if not KNOWN_RED.exists():
         return []
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
--- a/tools/slopes/idle.py
+++ b/tools/slopes/idle.py
@@ -74,7 +74,7 @@
         fleet.log, fleet.hosts = log.start(), hosts.start()
         fleet.kv_store = "127.0.0.1:9"
         own = fleet.next_address()
-        own_peer = f"127.0.0.1:{fleet.port + 1}"
+        own_peer = f"127.0.0.1:{fleet.last_port + 1}"
         addresses = [
             engine.start(host, port)
             for engine, (host, port) in zip(engines, _own_places(own_peer), strict=False)
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -31,7 +31,7 @@
     failed = 0
     for seed in seeds:
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        found = soak(
+        result = soak(
             seed,
             arguments.seconds,
             arguments.gateways,
@@ -39,10 +39,10 @@
             folder,
             arguments.deal,
         )
-        print(found.summary, flush=True)
-        for problem in found.problems:
+        print(result.summary, flush=True)
+        for problem in result.problems:
             print(f"    {problem}")
-        if found.problems:
+        if result.problems:
             failed += 1
             print(f"    logs: {folder}", flush=True)
     print(f"{len(seeds) - failed} seeds held, {failed} failed")
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -9,29 +9,29 @@
 
 import gevent
 
-from tools.soak.checks import Disturbance
+from tools.soak.checks import FaultInterval
 from tools.soak.proxy import Mode
-from tools.soak.world import REVOKE_S
+from tools.soak.testbed import REVOKE_S
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from tools.soak.world import Gateway, World
+    from tools.soak.testbed import Gateway, Testbed
 
-MOST_AT_ONCE = 3
+MAX_CONCURRENT_FAULTS = 3
 SETTLE_S = 0.4
 
 
-class Faults:
+class FaultInjector:
     """Starts faults at random, several at a time, and ends them again."""
 
-    def __init__(self, world: World, seed: int, deal: bool = False) -> None:
-        self.world = world
-        self.deal = deal
-        self.deck: list[Callable[[], None]] = []
+    def __init__(self, testbed: Testbed, seed: int, in_rounds: bool = False) -> None:
+        self.testbed = testbed
+        self.in_rounds = in_rounds
+        self.pending_kinds: list[Callable[[], None]] = []
         self.random = random.Random(seed)
-        self.done: list[Disturbance] = []
-        self.spare = 0
+        self.intervals: list[FaultInterval] = []
+        self.replacement_count = 0
         self.kinds: list[Callable[[], None]] = [
             self.kill,
             self.freeze,
@@ -58,63 +58,63 @@
         running: list[gevent.Greenlet] = []
         while time.monotonic() < until:
             running = [item for item in running if not item.ready()]
-            if len(running) < MOST_AT_ONCE:
+            if len(running) < MAX_CONCURRENT_FAULTS:
                 running.append(gevent.spawn(self._next_kind()))
             gevent.sleep(self.random.uniform(0.1, 0.8))
         gevent.joinall(running)
 
     def _next_kind(self) -> Callable[[], None]:
         """Return the next kind of fault; dealt, each comes before one comes again."""
-        if not self.deal:
+        if not self.in_rounds:
             return self.random.choice(self.kinds)
-        if not self.deck:
+        if not self.pending_kinds:
             kinds = [*self.kinds, self.kill_giver_of_orders]
-            self.deck = self.random.sample(kinds, len(kinds))
-        return self.deck.pop()
+            self.pending_kinds = self.random.sample(kinds, len(kinds))
+        return self.pending_kinds.pop()
 
     def kill(self) -> None:
         """Kill a gateway and start it again."""
-        gateway = self.random.choice(self.world.gateways)
+        gateway = self.random.choice(self.testbed.gateways)
         self._kill(gateway)
 
     def kill_giver_of_orders(self) -> None:
         """Kill the gateway that ordered last, while engines still need orders."""
-        world = self.world
-        world.name_weights()
+        testbed = self.testbed
+        testbed.announce_weights()
         gevent.sleep(self.random.uniform(1.5, 2.5))
-        orders = [order for target in world.targets.values() for order in target.order_log]
+        orders = [order for target in testbed.targets.values() for order in target.order_log]
         holder = max(orders)[1] if orders else ""
-        for gateway in world.gateways:
+        for gateway in testbed.gateways:
             if gateway.name == holder:
                 self._kill(gateway)
 
     def freeze(self) -> None:
         """Pause a gateway's process."""
-        gateway = self.random.choice(self.world.gateways)
-        with _Noted(self, f"freeze {gateway.name}"):
-            self.world.signal(gateway, signal.SIGSTOP)
+        gateway = self.random.choice(self.testbed.gateways)
+        with _FaultRecorder(self, f"freeze {gateway.name}"):
+            self.testbed.signal(gateway, signal.SIGSTOP)
             gevent.sleep(self.random.uniform(0.3, 5.0))
-            self.world.signal(gateway, signal.SIGCONT)
+            self.testbed.signal(gateway, signal.SIGCONT)
 
     def stop(self) -> None:
         """Stop a gateway in good order and start it again."""
-        gateway = self.random.choice(self.world.gateways)
+        gateway = self.random.choice(self.testbed.gateways)
         process = gateway.process
-        with _Noted(self, f"stop {gateway.name}"):
-            self.world.signal(gateway, signal.SIGTERM)
+        with _FaultRecorder(self, f"stop {gateway.name}"):
+            self.testbed.signal(gateway, signal.SIGTERM)
             while process is not None and process.poll() is None:
                 gevent.sleep(0.05)
-            self.world.start(gateway)
+            self.testbed.start(gateway)
             gevent.sleep(1.0)
 
     def reload(self) -> None:
         """Tell a gateway that its settings have changed."""
-        self.world.signal(self.random.choice(self.world.gateways), signal.SIGHUP)
+        self.testbed.signal(self.random.choice(self.testbed.gateways), signal.SIGHUP)
 
     def store_fault(self) -> None:
         """Have the store fail."""
-        store = self.world.store
-        with _Noted(self, "store fault"):
+        store = self.testbed.store
+        with _FaultRecorder(self, "store fault"):
             name, value = self.random.choice(
                 [("down", True), ("delay_s", 0.3), ("lose_writes", True)]
             )
@@ -127,27 +127,27 @@
 
     def store_cut(self) -> None:
         """Cut the way to the store."""
-        self._cut("store cut", self.world.store_proxy)
+        self._cut("store cut", self.testbed.store_proxy)
 
     def cut_and_revoke(self) -> None:
         """Take a key away while nobody hears the store, for longer than keys hold."""
-        if "k1" not in self.world.keys:
+        if "k1" not in self.testbed.keys:
             return
-        with _Noted(self, "store cut, key taken"):
-            self.world.store_proxy.set_mode(Mode.SILENT)
-            self.world.revoke("k1")
+        with _FaultRecorder(self, "store cut, key taken"):
+            self.testbed.store_proxy.set_mode(Mode.SILENT)
+            self.testbed.revoke("k1")
             gevent.sleep(REVOKE_S + self.random.uniform(0.5, 2.0))
-            self.world.store_proxy.set_mode(Mode.PASS)
+            self.testbed.store_proxy.set_mode(Mode.PASS)
 
     def target_cut(self) -> None:
         """Cut the way to a target."""
-        name = self.random.choice(list(self.world.proxies))
-        self._cut(f"target cut {name}", self.world.proxies[name])
+        name = self.random.choice(list(self.testbed.proxies))
+        self._cut(f"target cut {name}", self.testbed.proxies[name])
 
     def target_fault(self) -> None:
         """Have a target misbehave."""
-        name = self.random.choice(list(self.world.targets))
-        target = self.world.targets[name]
+        name = self.random.choice(list(self.testbed.targets))
+        target = self.testbed.targets[name]
         fault, value = self.random.choice(
             [
                 ("refuse", True),
@@ -157,57 +157,59 @@
                 ("break_after", 4),
             ]
         )
-        with _Noted(self, f"target {fault} {name}"):
+        with _FaultRecorder(self, f"target {fault} {name}"):
             setattr(target, fault, value)
             gevent.sleep(self.random.uniform(0.3, 2.5))
             setattr(target, fault, None if fault == "break_after" else False)
 
     def replace_target(self) -> None:
         """Let a target leave and another one come."""
-        world = self.world
-        names = [name for name in world.targets if name not in world.left_at]
+        testbed = self.testbed
+        names = [name for name in testbed.targets if name not in testbed.drained_at]
         name = self.random.choice(names)
-        self.spare += 1
-        model = world.targets[name].model
-        world.add_target(f"{name[0]}-new-{self.spare}", world.services[name], model)
+        self.replacement_count += 1
+        model = testbed.targets[name].model
+        testbed.add_target(
+            f"{name[0]}-new-{self.replacement_count}", testbed.services[name], model
+        )
         gevent.sleep(SETTLE_S)
-        world.drain(name)
+        testbed.drain(name)
 
     def publish(self) -> None:
         """Put new versions of the desired state, one soon after the other."""
         for _ in range(self.random.randint(1, 3)):
-            self.world.publish()
+            self.testbed.publish()
             gevent.sleep(self.random.uniform(0.0, 0.3))
 
     def revoke(self) -> None:
         """Take one key away; the others stay for the whole run."""
-        if "k1" in self.world.keys and self.random.random() < 0.5:
-            self.world.revoke("k1")
+        if "k1" in self.testbed.keys and self.random.random() < 0.5:
+            self.testbed.revoke("k1")
 
     def weights(self) -> None:
         """Name new weights."""
-        self.world.name_weights()
+        self.testbed.announce_weights()
 
     def _kill(self, gateway: Gateway) -> None:
-        with _Noted(self, f"kill {gateway.name}"):
-            self.world.signal(gateway, signal.SIGKILL)
+        with _FaultRecorder(self, f"kill {gateway.name}"):
+            self.testbed.signal(gateway, signal.SIGKILL)
             gevent.sleep(self.random.uniform(0.1, 0.8))
-            self.world.start(gateway)
+            self.testbed.start(gateway)
             gevent.sleep(1.0)
 
     def _cut(self, name: str, proxy: object) -> None:
-        with _Noted(self, name):
+        with _FaultRecorder(self, name):
             mode = self.random.choice([mode for mode in Mode if mode is not Mode.PASS])
             proxy.set_mode(mode)  # type: ignore[attr-defined]
             gevent.sleep(self.random.uniform(0.2, 3.0))
             proxy.set_mode(Mode.PASS)  # type: ignore[attr-defined]
 
 
-class _Noted:
+class _FaultRecorder:
     """Notes when a fault was in force."""
 
-    def __init__(self, faults: Faults, name: str) -> None:
-        self.faults = faults
+    def __init__(self, injector: FaultInjector, name: str) -> None:
+        self.injector = injector
         self.name = name
         self.start = 0.0
 
@@ -216,4 +218,4 @@
 
     def __exit__(self, *_: object) -> None:
         end = time.monotonic() + SETTLE_S
-        self.faults.done.append(Disturbance(self.name, self.start, end))
+        self.injector.intervals.append(FaultInterval(self.name, self.start, end))
--- a/tools/soak/proxy.py
+++ b/tools/soak/proxy.py
@@ -12,7 +12,7 @@
 from tools.soak.connecting import connect
 
 CHUNK_BYTES = 65536
-RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
+LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
 
 class Mode(enum.Enum):
@@ -33,7 +33,7 @@
         self.target = (host, int(port))
         self.mode = Mode.PASS
         self.delay_s = 0.15
-        self.open: set[Any] = set()
+        self.open_sockets: set[Any] = set()
         self.server = StreamServer(("127.0.0.1", 0), self._serve)
         self.server.start()
         self.address = f"127.0.0.1:{self.server.server_port}"
@@ -46,30 +46,30 @@
 
     def reset_all(self) -> None:
         """Reset all open connections."""
-        for sock in list(self.open):
+        for sock in list(self.open_sockets):
             _reset(sock)
 
-    def _serve(self, inner: Any, _address: Any) -> None:
+    def _serve(self, client: Any, _address: Any) -> None:
         if self.mode is Mode.REFUSE:
-            _reset(inner)
+            _reset(client)
             return
         try:
-            outer = connect(self.target)
+            upstream = connect(self.target)
         except OSError:
-            _reset(inner)
+            _reset(client)
             return
-        self.open |= {inner, outer}
-        ways = [
-            gevent.spawn(self._pass, inner, outer, False),
-            gevent.spawn(self._pass, outer, inner, True),
+        self.open_sockets |= {client, upstream}
+        directions = [
+            gevent.spawn(self._forward, client, upstream, False),
+            gevent.spawn(self._forward, upstream, client, True),
         ]
-        gevent.joinall(ways, count=1)
-        gevent.killall(ways)
-        self.open -= {inner, outer}
-        _reset(outer) if self.mode is Mode.REFUSE else outer.close()
-        inner.close()
+        gevent.joinall(directions, count=1)
+        gevent.killall(directions)
+        self.open_sockets -= {client, upstream}
+        _reset(upstream) if self.mode is Mode.REFUSE else upstream.close()
+        client.close()
 
-    def _pass(self, source: Any, sink: Any, is_answer: bool) -> None:
+    def _forward(self, source: Any, sink: Any, is_answer: bool) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
                 if self.mode is Mode.DELAY:
@@ -85,7 +85,7 @@
 
 def _reset(sock: Any) -> None:
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     except OSError:
         return  # already closed
     sock.close()
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -9,26 +9,26 @@
 import gevent
 
 from tools.soak.callers import Caller
-from tools.soak.checks import Evidence
-from tools.soak.faults import Faults
-from tools.soak.world import World
+from tools.soak.checks import RunChecker
+from tools.soak.faults import FaultInjector
+from tools.soak.testbed import Testbed
 
 if TYPE_CHECKING:
     import pathlib
 
 # A gateway takes half a second of a core to start; a few hundred share the cores.
-START_S = 15.0
-START_S_PER_GATEWAY = 0.4
+START_TIMEOUT_S = 15.0
+START_TIMEOUT_S_PER_GATEWAY = 0.4
 RECOVERY_S = 7.0
-CALM_S = 2.0
+POST_RECOVERY_S = 2.0
 
 
 @attrs.frozen
-class Found:
+class SoakResult:
     """What a run showed."""
 
     seed: int
-    asked: int
+    requests: int
     served: int
     faults: int
     problems: list[str]
@@ -39,7 +39,7 @@
         state = "BROKEN" if self.problems else "held"
         return (
             f"seed {self.seed}: {state}; {self.faults} faults, {self.served} of "
-            f"{self.asked} requests served"
+            f"{self.requests} requests served"
         )
 
 
@@ -49,40 +49,47 @@
     gateways: int,
     callers: int,
     folder: pathlib.Path,
-    deal: bool = False,
-) -> Found:
+    in_rounds: bool = False,
+) -> SoakResult:
     """Run gateways under faults and check the promises."""
-    world = World(folder, gateways)
+    testbed = Testbed(folder, gateways)
     try:
-        late = _not_started(world)
+        late = _wait_until_ready(testbed)
         if late:
-            return Found(seed, 0, 0, 0, late)
-        crowd = [Caller(world, number, seed) for number in range(callers)]
-        calling = [gevent.spawn(caller.run) for caller in crowd]
-        faults = Faults(world, seed, deal)
-        faults.run(seconds)
-        for gateway in world.gateways:
-            world.start(gateway)
+            return SoakResult(seed, 0, 0, 0, late)
+        all_callers = [Caller(testbed, number, seed) for number in range(callers)]
+        caller_greenlets = [gevent.spawn(caller.run) for caller in all_callers]
+        injector = FaultInjector(testbed, seed, in_rounds)
+        injector.run(seconds)
+        for gateway in testbed.gateways:
+            testbed.start(gateway)
         gevent.sleep(RECOVERY_S)
-        calm_from = time.monotonic()
-        gevent.sleep(CALM_S)
-        gevent.killall(calling)
-        asked = [item for caller in crowd for item in caller.asked if item.ended_at]
-        evidence = Evidence(world, [i for c in crowd for i in c.asked], faults.done, calm_from)
-        problems = evidence.check()
+        recovery_deadline = time.monotonic()
+        gevent.sleep(POST_RECOVERY_S)
+        gevent.killall(caller_greenlets)
+        finished = [
+            item for caller in all_callers for item in caller.requests if item.ended_at
+        ]
+        checker = RunChecker(
+            testbed,
+            [i for c in all_callers for i in c.requests],
+            injector.intervals,
+            recovery_deadline,
+        )
+        problems = checker.check()
     finally:
-        world.stop()
-    served = sum(item.status == 200 and item.whole for item in asked)
-    return Found(seed, len(asked), served, len(faults.done), problems)
+        testbed.stop()
+    served = sum(item.status == 200 and item.complete for item in finished)
+    return SoakResult(seed, len(finished), served, len(injector.intervals), problems)
 
 
-def _not_started(world: World) -> list[str]:
+def _wait_until_ready(testbed: Testbed) -> list[str]:
     """Wait until all gateways are ready; returns what is known of those that are not."""
-    limit_s = START_S + len(world.gateways) * START_S_PER_GATEWAY
+    limit_s = START_TIMEOUT_S + len(testbed.gateways) * START_TIMEOUT_S_PER_GATEWAY
     until = time.monotonic() + limit_s
-    while any(not gateway.ready for gateway in world.gateways):
+    while any(not gateway.ready for gateway in testbed.gateways):
         if time.monotonic() >= until:
-            late = [gateway for gateway in world.gateways if not gateway.ready]
+            late = [gateway for gateway in testbed.gateways if not gateway.ready]
             return [
                 f"{gateway.name}: not ready after {limit_s:.1f} s: {gateway.last_line}"
                 for gateway in late
--- a/tools/soak/world.py
+++ b/tools/soak/testbed.py
@@ -21,12 +21,12 @@
 
 HOST = "h.example"
 MODEL = "m1"
-PLAIN, LLM = "plain-service", "llm-service"
+PLAIN_SERVICE, LLM_SERVICE = "plain-service", "llm-service"
 REVOKE_S = 5.0
 LEASE_S = 3.0
 DRAIN_S = 2.0
 GRACE_S = 6.0
-READY_PERIOD_S = 0.5
+READINESS_PERIOD_S = 0.5
 GATEWAY_PORTS = range(10_000, 32_000)
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 
@@ -38,11 +38,11 @@
     name: str
     settings: str
     log: Any
-    front: str
-    ready_at: str
+    caller_address: str
+    readiness_address: str
     process: subprocess.Popen[bytes] | None = None
     ready: bool = False
-    starts: int = 0
+    start_count: int = 0
 
     @property
     def last_line(self) -> str:
@@ -56,7 +56,7 @@
         return self.process is not None and self.process.poll() is None
 
 
-class World:
+class Testbed:
     """Everything but the callers."""
 
     def __init__(self, folder: pathlib.Path, gateways: int, engines: int = 3) -> None:
@@ -66,36 +66,36 @@
         self.targets: dict[str, PlatformTargetStandIn] = {}
         self.proxies: dict[str, Proxy] = {}
         self.services: dict[str, str] = {}
-        self.left_at: dict[str, float] = {}
+        self.drained_at: dict[str, float] = {}
         self.version = 0
-        self.weights = 1
+        self.weights_version = 1
         self.keys = {"k0": "w1", "k1": "w1", "k2": "w2"}
         self.revoked_at: dict[str, float] = {}
-        self.ports = iter(_ports(gateways * 6))
+        self.ports = iter(_free_ports(gateways * 6))
         for number in range(2):
-            self.add_target(f"p-{number}", PLAIN)
+            self.add_target(f"p-{number}", PLAIN_SERVICE)
         for number in range(engines):
-            self.add_target(f"e-{number}", LLM, MODEL)
+            self.add_target(f"e-{number}", LLM_SERVICE, MODEL)
         self.publish()
         self.gateways = [self._gateway(f"g-{number}") for number in range(gateways)]
         for gateway in self.gateways:
             self.start(gateway)
-        self.watch = gevent.spawn(self._watch_ready)
+        self.readiness_poller = gevent.spawn(self._poll_readiness)
 
     def publish(self) -> None:
         """Put a new version of the desired state, with a route of its own."""
         self.version += 1
-        streaming = {"kind": "streaming", "service": LLM, "sticky": True}
+        streaming = {"kind": "streaming", "service": LLM_SERVICE, "sticky": True}
         routes = [
-            self._route("safe", kind="safe", service=PLAIN),
-            self._route("unsafe", kind="unsafe", service=PLAIN),
+            self._route("safe", kind="safe", service=PLAIN_SERVICE),
+            self._route("unsafe", kind="unsafe", service=PLAIN_SERVICE),
             self._route("resumed", **streaming, resumable=True),
             self._route("once", **streaming),
         ]
         # Those of older versions stay: one that was served and is unknown later
         # shows a gateway that went back.
         routes += [
-            self._route(f"v{version}", kind="safe", service=PLAIN, public=True)
+            self._route(f"v{version}", kind="safe", service=PLAIN_SERVICE, public=True)
             for version in range(1, self.version + 1)
         ]
         workspaces = {
@@ -106,9 +106,9 @@
             "version": self.version,
             "routes": routes,
             "services": [
-                {"name": PLAIN, "max_conns": 500},
+                {"name": PLAIN_SERVICE, "max_conns": 500},
                 {
-                    "name": LLM,
+                    "name": LLM_SERVICE,
                     "max_conns": 500,
                     "engine": {"slots": 8, "models": [{"name": MODEL}]},
                 },
@@ -127,27 +127,27 @@
         self.publish()
         self.revoked_at[key] = time.monotonic()
 
-    def name_weights(self) -> None:
+    def announce_weights(self) -> None:
         """Name the next weights version."""
-        self.weights += 1
+        self.weights_version += 1
         for target in self.targets.values():
-            target.named = self.weights
-        value = json.dumps({"model": MODEL, "version": self.weights}).encode()
+            target.announced_version = self.weights_version
+        value = json.dumps({"model": MODEL, "version": self.weights_version}).encode()
         self.store.put("keyed.op", f"version/{MODEL}", value)
 
     def add_target(self, instance: str, service: str, model: str = "") -> None:
         """Start a target and register it."""
         target = PlatformTargetStandIn(instance, model)
-        target.version = target.named = self.weights
+        target.version = target.announced_version = self.weights_version
         proxy = Proxy(target.start())
         self.targets[instance], self.proxies[instance] = target, proxy
         self.services[instance] = service
-        target.loaded_hook = lambda: self.register(instance)
+        target.on_loaded = lambda: self.register(instance)
         self.register(instance)
 
     def register(self, instance: str) -> None:
         """Write the entry of a target that has not left."""
-        if instance in self.left_at:
+        if instance in self.drained_at:
             return
         target, proxy = self.targets[instance], self.proxies[instance]
         entry = target.registration(self.services[instance], proxy.address)
@@ -155,14 +155,14 @@
 
     def drain(self, instance: str) -> None:
         """Let a target leave; it goes on serving what comes."""
-        self.left_at[instance] = time.monotonic()
+        self.drained_at[instance] = time.monotonic()
         self.store.put("keyed.servers", instance, b"")
 
     def start(self, gateway: Gateway) -> None:
         """Start a gateway's process."""
         if gateway.running:
             return
-        gateway.starts += 1
+        gateway.start_count += 1
         gateway.process = subprocess.Popen(
             [sys.executable, "-m", "agaterail.gateway"],
             cwd=ROOT,
@@ -179,7 +179,7 @@
 
     def stop(self) -> None:
         """End all that this run has started, by process."""
-        self.watch.kill()
+        self.readiness_poller.kill()
         for gateway in self.gateways:
             self.signal(gateway, signal.SIGCONT)
             self.signal(gateway, signal.SIGKILL)
@@ -236,16 +236,16 @@
         log = (self.folder / f"{name}.log").open("ab")
         return Gateway(name, str(path), log, listen["front"], listen["ready"])
 
-    def _watch_ready(self) -> None:
+    def _poll_readiness(self) -> None:
         while True:
             for gateway in self.gateways:
-                gevent.spawn(self._ask_ready, gateway)
-            gevent.sleep(READY_PERIOD_S)
+                gevent.spawn(self._probe_readiness, gateway)
+            gevent.sleep(READINESS_PERIOD_S)
 
-    def _ask_ready(self, gateway: Gateway) -> None:
-        host, _, port = gateway.ready_at.rpartition(":")
+    def _probe_readiness(self, gateway: Gateway) -> None:
+        host, _, port = gateway.readiness_address.rpartition(":")
         try:
-            with gevent.Timeout(READY_PERIOD_S, TimeoutError):
+            with gevent.Timeout(READINESS_PERIOD_S, TimeoutError):
                 sock = gevent.socket.create_connection((host, int(port)))
                 sock.sendall(b"GET /agaterail/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
                 gateway.ready = sock.recv(64).startswith(b"HTTP/1.1 200")
@@ -254,22 +254,22 @@
             gateway.ready = False  # the balancer's view: no answer is not ready
 
 
-def _ports(count: int) -> list[int]:
+def _free_ports(count: int) -> list[int]:
     """Return free ports below those that systems give to outgoing connections.
 
     One of those may be taken by a connection of another run before the gateway
     binds it.
     """
-    held: list[gevent.socket.socket] = []
-    while len(held) < count:
+    bound: list[gevent.socket.socket] = []
+    while len(bound) < count:
         sock = gevent.socket.socket()
         try:
             sock.bind(("127.0.0.1", secrets.choice(GATEWAY_PORTS)))
         except OSError:
             sock.close()  # taken; another one is drawn
             continue
-        held.append(sock)
-    ports = [sock.getsockname()[1] for sock in held]
-    for sock in held:
+        bound.append(sock)
+    ports = [sock.getsockname()[1] for sock in bound]
+    for sock in bound:
         sock.close()
     return ports
