--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,7 +1,7 @@
-"""Small stand-ins for the platform, its targets and its callers.
+"""Test doubles for the platform, its targets and its callers.
 
-They speak the protocols of docs/internals/protocols and never ship with the
-product.
+They implement the protocols described in docs/internals/protocols and are not
+part of the product.
 """
 
 from __future__ import annotations
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -22,7 +22,7 @@
 
 
 def main() -> None:
-    """Run until SIGTERM; prints the address on the first line."""
+    """Run until SIGTERM or SIGINT; the first line of output is the address."""
     parser = argparse.ArgumentParser(prog="standins")
     parser.add_argument(
         "kind", choices=["engine", "log", "hosts", "kvstore", "weights", "service"]
--- a/standins/base.py
+++ b/standins/base.py
@@ -1,4 +1,4 @@
-"""Minimal HTTP frame that all stand-ins share."""
+"""Minimal HTTP server that all stand-ins share."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 BACKLOG = 1024
 SOCKET_KEY = "standins.socket"
-# The Date and Content-Length lines that the server adds by itself.
+# Estimated size of the Date and Content-Length headers, which the server adds.
 SERVER_HEADER_BYTES = 60
 
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """One HTTP call of a stand-in."""
+    """One HTTP request to a stand-in."""
 
     method: str
     path: str
@@ -29,13 +29,13 @@
     body: bytes
 
     def json(self) -> dict[str, Any]:
-        """Return the body as a JSON object; an empty body as an empty one."""
+        """Return the body parsed as a JSON object; an empty body gives an empty object."""
         return json.loads(self.body) if self.body else {}
 
 
 @attrs.frozen
 class Answer:
-    """Answer of a stand-in; a body that is no bytes is streamed."""
+    """Answer of a stand-in; a body that is not ``bytes`` is streamed."""
 
     status: int = 200
     body: bytes | Iterable[bytes] = b""
@@ -43,7 +43,7 @@
 
 
 def json_answer(fields: object, status: int = 200, **headers: str) -> Answer:
-    """Return a JSON answer."""
+    """Return an answer with JSON-encoded fields and the JSON content type."""
     return Answer(
         status, json.dumps(fields).encode(), {"content-type": "application/json", **headers}
     )
@@ -53,7 +53,7 @@
 
 
 class _AbortableHandler(WSGIHandler):
-    """Handler whose connection a fault can cut."""
+    """Handler that exposes its socket, so that a fault can cut the connection."""
 
     def get_environ(self) -> dict[str, Any]:
         environ = super().get_environ()
@@ -63,7 +63,7 @@
 
 @attrs.define
 class Traffic:
-    """Calls and their bytes at the level of HTTP, streamed bodies left out."""
+    """Number and HTTP size of calls, without streamed bodies."""
 
     calls: int = 0
     received_bytes: int = 0
@@ -71,10 +71,10 @@
 
 
 class StandIn:
-    """HTTP server with a table of paths and switchable faults.
+    """HTTP server with a table of paths and configurable faults.
 
     ``POST /control`` sets attributes of ``faults`` by name; ``GET /control``
-    shows them.
+    returns their current values. ``/traffic`` returns the traffic counters.
     """
 
     def __init__(self, faults: Any = None) -> None:
@@ -87,7 +87,7 @@
         self.traffic = Traffic()
 
     def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen and return the address as IP:port."""
+        """Start listening and return the address as IP:port."""
         listener = _tcp_listener((host, port), backlog=BACKLOG, reuse_addr=True)
         listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.server = WSGIServer(
@@ -102,7 +102,7 @@
             self.server.stop(timeout=0)
 
     def route(self, call: Call) -> Answer:
-        """Answer one call; exact paths go before prefixes."""
+        """Answer one call; an exact path takes precedence over the longest prefix."""
         handler = self.paths.get(call.path)
         if handler is None:
             prefixes = [
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,7 @@
-"""Stand-in for a model engine with a bounded prefix cache."""
+"""Stand-in for a model engine with a bounded prefix cache.
+
+Prefill and decoding take simulated time; tokens are derived from the prompt.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineConfig:
-    """Fixed properties of an engine."""
+    """Properties of an engine that do not change at run time."""
 
     model: str = "atlas"
     weights_version: str = "v1"
@@ -54,33 +57,39 @@
 
 @attrs.define
 class EngineFaults:
-    """Switchable faults.
+    """Faults that can be configured at run time.
 
     Attributes
     ----------
     refuse
         Answer 503 with ``x-not-run: true`` before running.
-    cut_before_head, cut_after_frames
-        Coming requests cut before the head, or after so many frames.
+    cut_before_head
+        Number of coming requests whose connection is cut before the response head.
+    cut_after_frames
+        Number of frames after which the next stream is cut; 0 cuts none.
     event_loss
         Fraction of cache events that are never published.
     event_delay_ms, load_lag_ms
-        Age of the events and of the load that are shown.
+        Age of the published events and of the reported load.
+    load_frozen
+        Report the load from the oldest recorded report.
     skip_frame, repeat_frame
-        Coming streams with a missing or a repeated frame.
+        Number of coming streams with a missing or a repeated frame.
     no_resume
         Answer 404 to every resume.
     crossed
-        Coming answers that carry the id of another request.
+        Number of coming answers that carry the ID of another request.
+    slow_head_ms
+        Delay before a request is accepted.
     paused
-        Do nothing until switched off.
+        Accept, prefill and decode nothing while set.
     broken_versions
-        Weights versions, comma-separated, whose load fails.
+        Comma-separated weights versions that fail to load.
     load_counts_cached
-        The load report counts the whole prompts of waiting requests, cached
-        or not, and leaves out the one in prefill.
+        The load report counts all prompt tokens of waiting requests, including
+        cached ones, and omits the request in prefill.
     prefill_factor
-        Factor on the prefill time; a small one warms the cache quickly.
+        Factor on the prefill time; a small factor warms the cache quickly.
     """
 
     refuse: bool = False
@@ -103,7 +112,7 @@
 
 @attrs.define(order=True)
 class Job:
-    """One request at the engine."""
+    """One request at the engine, ordered by priority and then arrival."""
 
     rank: tuple[int, int]
     request_id: str = attrs.field(order=False)
@@ -119,13 +128,13 @@
     changed: Event = attrs.field(order=False, factory=Event)
 
     def notify(self) -> None:
-        """Wake the readers."""
+        """Wake the readers that wait for new frames or the end."""
         waiting, self.changed = self.changed, Event()
         waiting.set()
 
 
 class BlockCache:
-    """Least-recently-used cache of block keys that numbers its events."""
+    """LRU cache of block keys that publishes numbered events."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -136,14 +145,14 @@
         self.sequence = 0
 
     def match_prefix(self, keys: tuple[bytes, ...]) -> int:
-        """Return how many leading keys are held, and mark them as used."""
+        """Return the number of leading keys that are cached and mark them as used."""
         count = _prefix_length(keys, self.keys)
         for key in reversed(keys[:count]):
             self.keys.move_to_end(key)
         return count
 
     def store(self, keys: tuple[bytes, ...]) -> None:
-        """Hold keys; children are evicted before their parents."""
+        """Insert keys; children are evicted before their parents."""
         new = [key for key in keys if key not in self.keys]
         for key in reversed(keys):
             self.keys[key] = None
@@ -157,7 +166,7 @@
             self._publish("evicted", evicted)
 
     def clear(self) -> None:
-        """Drop all keys."""
+        """Remove all keys and publish one ``cleared`` event."""
         self.keys.clear()
         self._publish("cleared", [])
 
@@ -169,7 +178,7 @@
 
 
 class EngineStandIn(StandIn):
-    """Engine with one prefill server and batched decoding."""
+    """Engine that prefills one request at a time and decodes in a batch."""
 
     def __init__(self, config: EngineConfig, seed: int = 1) -> None:
         super().__init__(EngineFaults())
@@ -214,7 +223,7 @@
         )
 
     def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen, start the engine's loops and return the address."""
+        """Start the engine's loops and the server; return the address."""
         self.greenlets = [
             gevent.spawn(self._prefill_loop),
             gevent.spawn(self._decode_loop),
@@ -402,7 +411,7 @@
         self.prompt_tokens += job.prompt_tokens
         self.computed_blocks.update(key.hex() for key in job.keys[hit:])
         if incarnation != self.incarnation:
-            # The engine crashed meanwhile; what the job computed is gone.
+            # The engine crashed during the prefill, so its result is lost.
             return
         self.cache.store(job.keys)
         if not job.cancelled:
@@ -558,7 +567,10 @@
         return json_answer({"blocks": depth, "queue_ms": queue_ms})
 
     def _predict_cache_and_queue(self) -> tuple[collections.ChainMap[bytes, None], float]:
-        """Return what the cache will hold, but for evictions, and the time until then."""
+        """Return the cache contents after all queued prefills and the time until then.
+
+        Evictions by those prefills are not predicted.
+        """
         added: dict[bytes, None] = {}
         held = collections.ChainMap(added, self.cache.keys)
         keys, ends_at = self.prefilling
@@ -626,7 +638,7 @@
         incarnation = self.incarnation
         source = HttpConnections(Address.parse(fields["source"]))
         body = json.dumps({"keys": fields["keys"]}).encode()
-        # One transfer at a time: they share the engine's network.
+        # Transfers run one at a time because they share the engine's network link.
         with self.transfer_lock:
             answer = source.call("POST", "/blocks/get", body, timeout_s=10.0)
         status, data = answer.value_or((0, b""))
--- a/standins/hosts.py
+++ b/standins/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's lagging list of hosts."""
+"""Stand-in for the platform's host list, which may lag behind."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.define
 class HostsFaults:
-    """Switchable faults; ``lag_ms`` is the age of the list that is shown."""
+    """Faults that can be configured; ``lag_ms`` is the age of the returned list."""
 
     down: bool = False
     lag_ms: int = 0
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class HostsVersion:
-    """The list after one change."""
+    """Snapshot of the list after one change."""
 
     published_at: float
     number: int
@@ -30,7 +30,7 @@
 
 
 class HostsStandIn(StandIn):
-    """List of hosts that is changed by ``POST /hosts``."""
+    """Host list that ``POST /hosts`` changes."""
 
     def __init__(self) -> None:
         super().__init__(HostsFaults())
@@ -43,7 +43,7 @@
         self.paths["/stats"] = self._stats
 
     def put(self, address: str, role: str, state: str = "live", domain: str = "a") -> None:
-        """Add or change one host."""
+        """Add, change or (state ``gone``) remove one host."""
         newest = self.versions[-1]
         hosts = [host for host in newest.hosts if host["address"] != address]
         if state != "gone":
--- a/standins/kvstore.py
+++ b/standins/kvstore.py
@@ -1,4 +1,4 @@
-"""Stand-in for the store of kept KV cache; it keeps keys, not tensors."""
+"""Stand-in for the KV cache store; it stores block keys but no tensors."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @attrs.define
 class StoreFaults:
-    """Switchable faults."""
+    """Faults that can be configured at run time."""
 
     down: bool = False
     ms_per_block: float = 5.0
 
 
 class KvStoreStandIn(StandIn):
-    """Bounded store of block keys, least recently used out first."""
+    """Bounded store of block keys that evicts the least recently written one first."""
 
     def __init__(self, capacity_blocks: int = 100_000) -> None:
         super().__init__(StoreFaults())
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""Load generator: seeded conversations and a client that checks each stream."""
+"""Load generator: seeded conversations and a client that verifies each stream."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen(kw_only=True)
 class Prompt:
-    """One question of a customer of a workspace."""
+    """Prompt with one question by a customer of a workspace."""
 
     workspace: int
     customer: int
@@ -27,12 +27,12 @@
 
 @attrs.define(kw_only=True)
 class StreamResult:
-    """What a caller got for one request.
+    """What a caller received for one request.
 
     Attributes
     ----------
     whole
-        Every token came once, in order, with the final frame.
+        Every token arrived exactly once and in order, followed by the final frame.
     """
 
     status: int = 0
@@ -50,12 +50,12 @@
 
 
 class Workload:
-    """Nested prompts: a workspace's instructions, a customer's history, a question.
+    """Prompts made of workspace instructions, customer history and a question.
 
     Parameters
     ----------
     skew
-        Exponent of the Zipf-like choice of customers.
+        Exponent of the Zipf-like distribution from which customers are drawn.
     """
 
     def __init__(
@@ -79,14 +79,14 @@
         self.question_count = 0
 
     def prompts(self, count: int) -> Iterator[Prompt]:
-        """Yield prompts; the hot customers move when ``customer_shift`` is changed."""
+        """Yield prompts; ``customer_shift`` changes which customers are the hot ones."""
         for _ in range(count):
             workspace = self.random.randrange(self.workspaces)
             rank = self.random.choices(range(self.customers), self.customer_weights)[0]
             yield self.prompt(workspace, (rank + self.customer_shift) % self.customers)
 
     def prompt(self, workspace: int, customer: int) -> Prompt:
-        """Return a new question of one customer."""
+        """Return a prompt with a new question by one customer."""
         self.question_count += 1
         return Prompt(
             workspace=workspace,
@@ -115,7 +115,7 @@
     def ask(
         self, prompt: Prompt, max_tokens: int = 16, timeout_s: float = 60.0
     ) -> StreamResult:
-        """Stream one completion and check that it is whole and in order."""
+        """Stream one completion and check that it is complete and in order."""
         fields = {
             "model": self.model,
             "messages": list(prompt.messages),
--- a/standins/log.py
+++ b/standins/log.py
@@ -18,18 +18,19 @@
 
 @attrs.define
 class LogFaults:
-    """Switchable faults.
+    """Faults that can be configured at run time.
 
     Attributes
     ----------
     lose_answers
-        Coming appends that take effect and are answered by a cut connection.
+        Number of coming appends that take effect but whose connection is cut
+        instead of answered.
     retention
-        Records kept per stream; 0 keeps all.
+        Number of records kept per stream; 0 keeps all.
     stale_records
-        Newest records that readers do not see yet.
+        Number of newest records that are not visible to readers yet.
     appends_per_s
-        Appends allowed per second; more are refused with 429.
+        Appends allowed per second; further ones are rejected with 429.
     """
 
     down: bool = False
@@ -41,7 +42,7 @@
 
 
 class LogStandIn(StandIn):
-    """Streams of records in memory."""
+    """Log streams with offsets, kept in memory."""
 
     def __init__(self) -> None:
         super().__init__(LogFaults())
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's targets: model engines and plain services."""
+"""Stand-in for the platform's targets: model engines and plain services."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.define
 class Run:
-    """One request that a target began to work on."""
+    """One request that a target started to execute."""
 
     request_id: str
     method: str
@@ -31,18 +31,19 @@
     ended_at: float = 0.0
 
     def end(self, how: str) -> None:
-        """Note how and when the work on it ended."""
+        """Record the outcome and the time of the end."""
         self.outcome, self.ended_at = how, time.monotonic()
 
 
 class PlatformTargetStandIn:
-    """Target that journals what it runs.
-
-    Faults are attributes: ``refuse`` answers 503 with the mark of a request that
-    did not run, ``hang`` runs and never answers, ``break_after`` resets a stream
-    in the middle of the event of that number, ``error`` answers 500, ``doubled``
-    sends every answer twice, ``pause_before`` is silent for ``pause_s`` before the
-    event of that number; 0 stands for the head of the answer.
+    """Target that records the requests it executes.
+
+    Faults are attributes: ``refuse`` answers 503 with the header ``Not-Run``,
+    ``hang`` executes requests without answering, ``break_after`` closes a stream
+    in the middle of the event with that number, ``error`` answers 500,
+    ``doubled`` sends every answer to a plain request twice, and ``pause_before``
+    sends nothing for ``pause_s`` before the event with that number, or before
+    the head of the answer if 0.
     """
 
     def __init__(self, instance: str, model: str = "", events: int = 8) -> None:
@@ -67,18 +68,18 @@
         self.server: StreamServer | None = None
 
     def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen; returns the address."""
+        """Start listening and return the address."""
         self.server = StreamServer((host, port), self._serve)
         self.server.start()
         return f"{host}:{self.server.server_port}"
 
     def stop(self) -> None:
-        """Stop listening and cut what is open."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.stop(timeout=0)
 
     def registration(self, service: str, address: str, born: int = 1) -> bytes:
-        """Return the entry that the target writes of itself."""
+        """Return the entry that the target writes to register itself."""
         models = [{"name": self.model, "version": self.version, "adapters": []}]
         return json.dumps(
             {
@@ -106,18 +107,18 @@
                 headers: dict[str, str] = {}
                 while (line := file.readline()) != LINE_END:
                     if not line:
-                        return  # cut in the middle of the head: no request
+                        return  # connection closed within the head: not a request
                     name, _, value = line.decode("latin-1").partition(":")
                     name, value = name.strip().lower(), value.strip()
-                    # A field that comes twice is one list, as HTTP has it: a value
-                    # that a caller smuggled in beside the router's must show.
+                    # Repeated fields are joined into a list, as HTTP specifies, so
+                    # that a value injected by a caller next to the gateway's is visible.
                     headers[name] = f"{headers[name]}, {value}" if name in headers else value
                 length = int(headers.get("content-length", "0"))
                 body = file.read(length)
                 if len(body) < length or not self._answer(sock, method, path, headers, body):
                     return
         except OSError:
-            return  # the gateway or a fault has cut the connection
+            return  # the gateway or an injected fault closed the connection
         finally:
             sock.close()
 
@@ -188,7 +189,7 @@
         return True
 
     def _client_disconnects(self, sock: socket.socket, run: Run) -> bool:
-        """Pause; tells whether the other side closed the connection meanwhile."""
+        """Pause and return whether the client closed the connection meanwhile."""
         readable, _, _ = select.select([sock], [], [], self.pause_s)
         if not readable:
             return False
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the hosts' platform's store: a log with partitions and groups."""
+"""Stand-in for the platform's store: a log with partitions and consumer groups."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 class PlatformStoreStandIn(StandIn):
-    """The calls that a gateway makes, on memory.
+    """In-memory implementation of the calls that a gateway makes.
 
-    Faults are attributes: ``down`` answers 503, ``delay_s`` slows each answer,
-    ``lose_writes`` does writes and never answers, ``refused`` names the hosts
-    that get 503. ``reads`` counts the answered reads of each topic.
+    Faults are attributes: ``down`` answers 503, ``delay_s`` delays each answer,
+    ``lose_writes`` executes appends but answers them only 30 s later.
+    ``reads`` counts the answered reads per topic.
     """
 
     def __init__(self) -> None:
@@ -66,12 +66,12 @@
         return answer
 
     def put(self, topic: str, key: str, value: bytes) -> int:
-        """Append a keyed record, as operators and targets do."""
+        """Append a keyed record, as operators and targets do, and return its offset."""
         name = key.encode()
         return self._append_record(topic, 0, bytes([len(name)]) + name + value)
 
     def expire(self, topic: str) -> None:
-        """Forget the history of a topic, the newest record of each key apart."""
+        """Expire the history of a topic; the newest record of each key stays readable."""
         log = self.topics.get((topic, 0), [])
         self.first_offsets[topic, 0] = len(log)
 
@@ -173,7 +173,8 @@
         topics = sorted({topic for member in members.values() for topic in member.topics})
         names = sorted(members)
         places = [(topic, part) for topic in topics for part in range(PARTITIONS)]
-        # Counted with the topic, so that first partitions do not all go to one.
+        # Offset by the topic, so that the first partitions of all topics do not go to
+        # the same member.
         return [
             (topic, part, names[(part + topics.index(topic)) % len(names)])
             for topic, part in places
@@ -181,5 +182,5 @@
 
 
 def config_record(**fields: Any) -> bytes:
-    """Return a desired state as operators write it."""
+    """Return a desired state in the encoding that operators write."""
     return json.dumps(fields).encode()
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service, some of whose calls may not repeat."""
+"""Stand-in for a plain service with calls that must not be repeated."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @attrs.define
 class ServiceFaults:
-    """Switchable faults.
+    """Faults that can be configured at run time.
 
     Attributes
     ----------
     refuse
         Answer 503 with ``x-not-run: true`` before running.
     cut_before, cut_after
-        Coming calls whose connection is cut before or after running.
+        Number of coming calls whose connection is cut before or after running.
     crossed
-        Coming answers that carry the id of another request.
+        Number of coming answers that carry the ID of another request.
     """
 
     refuse: bool = False
@@ -31,7 +31,7 @@
 
 
 class ServiceStandIn(StandIn):
-    """Runs calls and keeps a journal of every execution."""
+    """Executes calls and keeps a journal of every execution."""
 
     def __init__(self) -> None:
         super().__init__(ServiceFaults())
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -10,7 +10,7 @@
 
 @attrs.define
 class WeightFaults:
-    """Switchable faults; a load takes longer while more than two run."""
+    """Faults that can be configured; more than two concurrent loads slow each other."""
 
     down: bool = False
     load_ms: int = 2000
@@ -18,7 +18,7 @@
 
 
 class WeightsStandIn(StandIn):
-    """Hands out weights slowly."""
+    """Weight store whose loads take simulated time."""
 
     def __init__(self) -> None:
         super().__init__(WeightFaults())
--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak of the real gateways under faults from outside."""
+"""Randomized soak test of gateway processes under injected faults."""
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -16,15 +16,19 @@
 
 
 def main() -> None:
-    """Run each seed; exits 1 if a promise was broken."""
+    """Run each seed; exit 1 if a run violated a guarantee."""
     parser = argparse.ArgumentParser(prog="soak")
     parser.add_argument("--seeds", type=int, nargs="*", default=[])
-    parser.add_argument("--fresh", type=int, default=0, help="seeds drawn just now")
+    parser.add_argument(
+        "--fresh", type=int, default=0, help="number of additional random seeds"
+    )
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--gateways", type=int, default=4)
     parser.add_argument("--callers", type=int, default=16)
     parser.add_argument(
-        "--deal", action="store_true", help="each kind of fault comes before one comes again"
+        "--deal",
+        action="store_true",
+        help="inject every kind of fault once before any repeats",
     )
     arguments = parser.parse_args()
     seeds = [*arguments.seeds, *(secrets.randbelow(10**6) for _ in range(arguments.fresh))]
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep connections and note what they got."""
+"""Callers that reuse connections and record the answers they receive."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.define
 class CallerRequest:
-    """One attempt of a caller and its answer."""
+    """One request of a caller and its answer."""
 
     request_id: str
     kind: str
@@ -37,13 +37,13 @@
 
     @property
     def status(self) -> int:
-        """Return the status; 0 without an answer."""
+        """Return the status code, or 0 without an answer."""
         parts = self.raw_answer.split(b" ", 2)
         return int(parts[1]) if len(parts) > 2 and parts[1].isdigit() else 0
 
 
 class Caller:
-    """Sends one request after the other, on a kept connection where it can."""
+    """Sends one request at a time, over a persistent connection where possible."""
 
     def __init__(self, testbed: Testbed, number: int, seed: int) -> None:
         self.testbed = testbed
@@ -54,13 +54,13 @@
         self.gateway: Gateway | None = None
 
     def run(self) -> None:
-        """Call until killed."""
+        """Send requests until the greenlet is killed."""
         while True:
             self.send_request()
             gevent.sleep(MEAN_PAUSE_S * self.random.random() * 2)
 
     def send_request(self) -> None:
-        """Make one request."""
+        """Send one request and record its answer."""
         if not self._connect():
             return
         assert self.gateway is not None and self.sock is not None
@@ -93,7 +93,7 @@
         try:
             self.sock = connect((host, int(port)))
         except OSError:
-            return False  # nobody listens; another gateway is tried next time
+            return False  # the gateway is not listening; the next request picks one anew
         return True
 
     def _disconnect(self) -> None:
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a run, from what callers and targets have seen."""
+"""Guarantees of a run, checked against what callers and targets recorded."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class FaultInterval:
-    """A fault and when it was in force."""
+    """A fault and the interval in which it can have effects."""
 
     name: str
     start: float
@@ -29,7 +29,7 @@
 
 @attrs.define
 class RunChecker:
-    """All that was seen in one run."""
+    """Records of one run and the checks on them."""
 
     testbed: Testbed
     requests: list[CallerRequest]
@@ -38,14 +38,14 @@
     problems: list[str] = attrs.field(factory=list)
 
     def check(self) -> list[str]:
-        """Return every promise that was broken."""
+        """Return a description of every violated guarantee."""
         runs: dict[str, list[Run]] = {}
         for target in self.testbed.targets.values():
             for run in target.runs:
                 runs.setdefault(run.request_id, []).append(run)
         known = {request.request_id for request in self.requests}
         for request_id in set(runs) - known:
-            self.problems.append(f"{request_id}: ran, and nobody asked for it")
+            self.problems.append(f"{request_id}: executed, but no caller sent it")
         for request in self.requests:
             self._check_executions(request, runs.get(request.request_id, []))
             self._check_answer(request)
@@ -60,23 +60,27 @@
         name = request.request_id
         if request.kind in ("unsafe", "once"):
             if len(runs) > 1:
-                self.problems.append(f"{name}: ran {len(runs)} times")
+                self.problems.append(f"{name}: executed {len(runs)} times")
             if runs and request.status in (408, 421, 429, 503):
-                self.problems.append(f"{name}: answered {request.status} and has run")
+                self.problems.append(f"{name}: answered {request.status} but was executed")
         for run in runs:
             if request.kind.startswith("v"):
                 continue
             if run.headers.get("tenant") != WORKSPACE_BY_KEY[request.key]:
-                self.problems.append(f"{name}: ran for {run.headers.get('tenant')}")
+                self.problems.append(
+                    f"{name}: executed for workspace {run.headers.get('tenant')}"
+                )
             scope = run.headers.get("cache-salt", "")
             if request.kind in ("once", "resumed") and (request.key == "k2") != (
                 "w2" in scope
             ):
-                self.problems.append(f"{name}: ran in the cache scope {scope!r}")
+                self.problems.append(f"{name}: executed in cache scope {scope!r}")
             taken = self.testbed.revoked_at.get(request.key)
             if taken is not None and request.sent_at > taken + REVOKE_S:
                 late = request.sent_at - taken
-                self.problems.append(f"{name}: ran {late:.1f} s after its key was taken")
+                self.problems.append(
+                    f"{name}: executed {late:.1f} s after its key was revoked"
+                )
 
     def _check_answer(self, request: CallerRequest) -> None:
         if request.status != 200 or not request.complete:
@@ -85,9 +89,11 @@
         if request.kind in ("resumed", "once"):
             found = [x for x in request.raw_answer.split(b"\n") if x.startswith(b"data: ")]
             if found != [b"data: %b-%d" % (name, n) for n in range(1, STREAM_EVENTS + 1)]:
-                self.problems.append(f"{request.request_id}: a stream looks whole and is not")
+                self.problems.append(
+                    f"{request.request_id}: the stream ended cleanly but its events are wrong"
+                )
         elif request.raw_answer.partition(b"\r\n\r\n")[2].count(b" " + name) != 20:
-            self.problems.append(f"{request.request_id}: got another answer")
+            self.problems.append(f"{request.request_id}: received an unexpected answer")
 
     def _check_versions(self) -> None:
         newest: dict[tuple[str, int], int] = {}
@@ -98,7 +104,9 @@
             if request.status == 200:
                 newest[place] = max(newest.get(place, 0), version)
             elif newest.get(place, 0) == version:
-                self.problems.append(f"{request.request_id}: version {version} was taken back")
+                self.problems.append(
+                    f"{request.request_id}: a route of version {version} disappeared again"
+                )
 
     def _check_orders(self) -> None:
         orders = sorted(
@@ -107,16 +115,21 @@
         holders: dict[int, str] = {}
         for at, holder, fence, _ in orders:
             if holders.setdefault(fence, holder) != holder:
-                self.problems.append(f"two hosts ordered with the number {fence} at {at:.2f}")
+                self.problems.append(
+                    f"two hosts sent orders with fencing number {fence} at {at:.2f}"
+                )
         for before, after in zip(orders, orders[1:], strict=False):
             if before[1] == after[1] or after[0] - before[0] >= LEASE_S - 0.05:
                 continue
-            # One that was frozen or cut may send an order late; engines refuse it.
+            # A frozen or disconnected host may send an order late; engines reject it
+            # by its fencing number.
             if not self._overlaps_fault(
                 before[0] - 3.0, after[0], ("freeze", "store", "target")
             ):
                 gap = after[0] - before[0]
-                self.problems.append(f"{before[1]} and {after[1]} ordered {gap:.2f} s apart")
+                self.problems.append(
+                    f"{before[1]} and {after[1]} sent orders {gap:.2f} s apart"
+                )
 
     def _check_drained(self) -> None:
         for name, drained_at in self.testbed.drained_at.items():
@@ -125,11 +138,14 @@
                 if late > DRAIN_S and not self._overlaps_fault(
                     drained_at - 3.0, run.started_at
                 ):
-                    self.problems.append(f"{run.request_id}: at {name} {late:.1f} s too late")
+                    self.problems.append(
+                        f"{run.request_id}: reached {name} {late:.1f} s after its drain began"
+                    )
 
     def _check_aborted(self) -> None:
         for request in self.requests:
-            # One that is under way when the run ends has no end of its own.
+            # A request still in flight when the run ends has ``ended_at`` 0 and is
+            # not checked.
             cut = not request.complete and request.raw_answer and request.ended_at
             if cut and not self._overlaps_fault(
                 request.sent_at - 3.0, request.ended_at, skip="stop"
--- a/tools/soak/connecting.py
+++ b/tools/soak/connecting.py
@@ -1,4 +1,4 @@
-"""Connections whose timeout ends with the connect."""
+"""Connections whose timeout applies only to the connect."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 def connect(address: tuple[str, int]) -> Any:
-    """Return a connection that may pause for as long as it likes.
+    """Return a connection without a read timeout.
 
-    The timeout of a connect stays in force for later reads: left there, it would end
-    an answer that pauses.
+    A connect timeout also applies to later reads on the socket, so it is cleared after
+    the connect; otherwise it would cut an answer that pauses.
 
     Raises
     ------
     OSError
-        If no connection was made within the timeout.
+        If no connection was established within ``CONNECT_TIMEOUT_S``.
     """
     sock = socket.create_connection(address, timeout=CONNECT_TIMEOUT_S)
     sock.settimeout(None)
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -1,4 +1,4 @@
-"""The seeded series of faults."""
+"""Seeded injection of faults."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FaultInjector:
-    """Starts faults at random, several at a time, and ends them again."""
+    """Starts and ends faults at random, up to ``MAX_CONCURRENT_FAULTS`` at a time."""
 
     def __init__(self, testbed: Testbed, seed: int, in_rounds: bool = False) -> None:
         self.testbed = testbed
@@ -53,7 +53,7 @@
         ]
 
     def run(self, seconds: float) -> None:
-        """Cause faults for so long; the last ones have ended when this returns."""
+        """Inject faults for a duration and wait until the last ones have ended."""
         until = time.monotonic() + seconds
         running: list[gevent.Greenlet] = []
         while time.monotonic() < until:
@@ -64,7 +64,10 @@
         gevent.joinall(running)
 
     def _next_kind(self) -> Callable[[], None]:
-        """Return the next kind of fault; dealt, each comes before one comes again."""
+        """Return the next kind of fault.
+
+        With ``in_rounds``, every kind is injected once before any repeats.
+        """
         if not self.in_rounds:
             return self.random.choice(self.kinds)
         if not self.pending_kinds:
@@ -73,12 +76,12 @@
         return self.pending_kinds.pop()
 
     def kill(self) -> None:
-        """Kill a gateway and start it again."""
+        """Kill a gateway and restart it."""
         gateway = self.random.choice(self.testbed.gateways)
         self._kill(gateway)
 
     def kill_giver_of_orders(self) -> None:
-        """Kill the gateway that ordered last, while engines still need orders."""
+        """Kill the gateway that sent the last order while engines still need orders."""
         testbed = self.testbed
         testbed.announce_weights()
         gevent.sleep(self.random.uniform(1.5, 2.5))
@@ -89,7 +92,7 @@
                 self._kill(gateway)
 
     def freeze(self) -> None:
-        """Pause a gateway's process."""
+        """Suspend a gateway process with SIGSTOP."""
         gateway = self.random.choice(self.testbed.gateways)
         with _FaultRecorder(self, f"freeze {gateway.name}"):
             self.testbed.signal(gateway, signal.SIGSTOP)
@@ -97,7 +100,7 @@
             self.testbed.signal(gateway, signal.SIGCONT)
 
     def stop(self) -> None:
-        """Stop a gateway in good order and start it again."""
+        """Stop a gateway gracefully with SIGTERM and restart it."""
         gateway = self.random.choice(self.testbed.gateways)
         process = gateway.process
         with _FaultRecorder(self, f"stop {gateway.name}"):
@@ -108,11 +111,11 @@
             gevent.sleep(1.0)
 
     def reload(self) -> None:
-        """Tell a gateway that its settings have changed."""
+        """Have a gateway reload its settings."""
         self.testbed.signal(self.random.choice(self.testbed.gateways), signal.SIGHUP)
 
     def store_fault(self) -> None:
-        """Have the store fail."""
+        """Make the store fail, answer slowly or lose the answers to writes."""
         store = self.testbed.store
         with _FaultRecorder(self, "store fault"):
             name, value = self.random.choice(
@@ -126,11 +129,11 @@
                 store.expire("keyed.op")
 
     def store_cut(self) -> None:
-        """Cut the way to the store."""
+        """Disturb the connections to the store."""
         self._cut("store cut", self.testbed.store_proxy)
 
     def cut_and_revoke(self) -> None:
-        """Take a key away while nobody hears the store, for longer than keys hold."""
+        """Revoke a key while the store is unreachable for longer than keys stay valid."""
         if "k1" not in self.testbed.keys:
             return
         with _FaultRecorder(self, "store cut, key taken"):
@@ -140,12 +143,12 @@
             self.testbed.store_proxy.set_mode(Mode.PASS)
 
     def target_cut(self) -> None:
-        """Cut the way to a target."""
+        """Disturb the connections to a target."""
         name = self.random.choice(list(self.testbed.proxies))
         self._cut(f"target cut {name}", self.testbed.proxies[name])
 
     def target_fault(self) -> None:
-        """Have a target misbehave."""
+        """Make a target misbehave."""
         name = self.random.choice(list(self.testbed.targets))
         target = self.testbed.targets[name]
         fault, value = self.random.choice(
@@ -163,7 +166,7 @@
             setattr(target, fault, None if fault == "break_after" else False)
 
     def replace_target(self) -> None:
-        """Let a target leave and another one come."""
+        """Start a new target and then drain an existing one."""
         testbed = self.testbed
         names = [name for name in testbed.targets if name not in testbed.drained_at]
         name = self.random.choice(names)
@@ -176,18 +179,18 @@
         testbed.drain(name)
 
     def publish(self) -> None:
-        """Put new versions of the desired state, one soon after the other."""
+        """Publish one to three versions of the desired state in quick succession."""
         for _ in range(self.random.randint(1, 3)):
             self.testbed.publish()
             gevent.sleep(self.random.uniform(0.0, 0.3))
 
     def revoke(self) -> None:
-        """Take one key away; the others stay for the whole run."""
+        """Revoke one key; the others stay valid for the whole run."""
         if "k1" in self.testbed.keys and self.random.random() < 0.5:
             self.testbed.revoke("k1")
 
     def weights(self) -> None:
-        """Name new weights."""
+        """Announce a new weights version."""
         self.testbed.announce_weights()
 
     def _kill(self, gateway: Gateway) -> None:
@@ -206,7 +209,7 @@
 
 
 class _FaultRecorder:
-    """Notes when a fault was in force."""
+    """Records the interval of a fault, extended by ``SETTLE_S`` after its end."""
 
     def __init__(self, injector: FaultInjector, name: str) -> None:
         self.injector = injector
--- a/tools/soak/proxy.py
+++ b/tools/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy between gateways and what they talk to."""
+"""Loopback TCP proxy between gateways and the store or a target."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class Mode(enum.Enum):
-    """What the proxy does with connections."""
+    """How the proxy treats connections."""
 
     PASS = "pass"
     DELAY = "delay"
-    SILENT = "silent"  # connections stay open, nothing passes
-    ANSWERS_LOST = "answers_lost"  # what goes in passes, what comes back does not
-    REFUSE = "refuse"  # connections are reset, open ones too
+    SILENT = "silent"  # connections stay open, but no data is forwarded
+    ANSWERS_LOST = "answers_lost"  # requests are forwarded, answers are not
+    REFUSE = "refuse"  # new and open connections are reset
 
 
 class Proxy:
-    """Listens for one target and passes bytes on, or does not."""
+    """Listens on behalf of one target and forwards data according to the mode."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -39,7 +39,7 @@
         self.address = f"127.0.0.1:{self.server.server_port}"
 
     def set_mode(self, mode: Mode) -> None:
-        """Change what happens; a refusal also resets what is open."""
+        """Change the mode; ``Mode.REFUSE`` also resets open connections."""
         self.mode = mode
         if mode is Mode.REFUSE:
             self.reset_all()
@@ -80,7 +80,7 @@
                     gevent.sleep(0.05)
                 sink.sendall(data)
         except OSError:
-            return  # either side has ended; the other is closed by the caller of this
+            return  # one side closed its connection; ``_serve`` closes the other
 
 
 def _reset(sock: Any) -> None:
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run of the soak."""
+"""One seeded run of the soak test."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     import pathlib
 
-# A gateway takes half a second of a core to start; a few hundred share the cores.
+# Starting a gateway takes 0.5 s of CPU time, and up to a few hundred start at once.
 START_TIMEOUT_S = 15.0
 START_TIMEOUT_S_PER_GATEWAY = 0.4
 RECOVERY_S = 7.0
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class SoakResult:
-    """What a run showed."""
+    """Counts and violated guarantees of one run."""
 
     seed: int
     requests: int
@@ -35,7 +35,7 @@
 
     @property
     def summary(self) -> str:
-        """Return one line."""
+        """Return the result in one line."""
         state = "BROKEN" if self.problems else "held"
         return (
             f"seed {self.seed}: {state}; {self.faults} faults, {self.served} of "
@@ -51,7 +51,7 @@
     folder: pathlib.Path,
     in_rounds: bool = False,
 ) -> SoakResult:
-    """Run gateways under faults and check the promises."""
+    """Run gateways under faults and check the guarantees."""
     testbed = Testbed(folder, gateways)
     try:
         late = _wait_until_ready(testbed)
@@ -84,7 +84,11 @@
 
 
 def _wait_until_ready(testbed: Testbed) -> list[str]:
-    """Wait until all gateways are ready; returns what is known of those that are not."""
+    """Wait until all gateways are ready; return a problem for each that is not.
+
+    The problem includes the last line of the gateway's log, which shows how far its
+    start came.
+    """
     limit_s = START_TIMEOUT_S + len(testbed.gateways) * START_TIMEOUT_S_PER_GATEWAY
     until = time.monotonic() + limit_s
     while any(not gateway.ready for gateway in testbed.gateways):
--- a/tools/soak/testbed.py
+++ b/tools/soak/testbed.py
@@ -1,4 +1,4 @@
-"""The store, the targets and the gateways of one soak run."""
+"""Store, targets and gateway processes of one soak run."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @attrs.define
 class Gateway:
-    """One gateway process and what the balancer knows of it."""
+    """One gateway process and its state as seen by the load balancer."""
 
     name: str
     settings: str
@@ -46,18 +46,18 @@
 
     @property
     def last_line(self) -> str:
-        """Return the last line of its log."""
+        """Return the last line of the gateway's log."""
         lines = pathlib.Path(self.log.name).read_text(encoding="utf-8", errors="replace")
         return lines.rstrip().rpartition("\n")[2]
 
     @property
     def running(self) -> bool:
-        """Tell whether the process lives."""
+        """Whether the process is alive."""
         return self.process is not None and self.process.poll() is None
 
 
 class Testbed:
-    """Everything but the callers."""
+    """Store, targets and gateways; the callers are separate."""
 
     def __init__(self, folder: pathlib.Path, gateways: int, engines: int = 3) -> None:
         self.folder = folder
@@ -83,7 +83,7 @@
         self.readiness_poller = gevent.spawn(self._poll_readiness)
 
     def publish(self) -> None:
-        """Put a new version of the desired state, with a route of its own."""
+        """Publish a new version of the desired state, which adds a route named after it."""
         self.version += 1
         streaming = {"kind": "streaming", "service": LLM_SERVICE, "sticky": True}
         routes = [
@@ -92,8 +92,8 @@
             self._route("resumed", **streaming, resumable=True),
             self._route("once", **streaming),
         ]
-        # Those of older versions stay: one that was served and is unknown later
-        # shows a gateway that went back.
+        # Routes of older versions stay, so that a route which was served and later
+        # is unknown shows that a gateway went back to an older version.
         routes += [
             self._route(f"v{version}", kind="safe", service=PLAIN_SERVICE, public=True)
             for version in range(1, self.version + 1)
@@ -122,13 +122,13 @@
         self.store.put("keyed.op", "config", json.dumps(desired).encode())
 
     def revoke(self, key: str) -> None:
-        """Take a key away."""
+        """Revoke an API key."""
         self.keys.pop(key, None)
         self.publish()
         self.revoked_at[key] = time.monotonic()
 
     def announce_weights(self) -> None:
-        """Name the next weights version."""
+        """Announce the next weights version."""
         self.weights_version += 1
         for target in self.targets.values():
             target.announced_version = self.weights_version
@@ -136,7 +136,7 @@
         self.store.put("keyed.op", f"version/{MODEL}", value)
 
     def add_target(self, instance: str, service: str, model: str = "") -> None:
-        """Start a target and register it."""
+        """Start a target behind a proxy and register it."""
         target = PlatformTargetStandIn(instance, model)
         target.version = target.announced_version = self.weights_version
         proxy = Proxy(target.start())
@@ -146,7 +146,7 @@
         self.register(instance)
 
     def register(self, instance: str) -> None:
-        """Write the entry of a target that has not left."""
+        """Write the entry of a target unless it is draining."""
         if instance in self.drained_at:
             return
         target, proxy = self.targets[instance], self.proxies[instance]
@@ -154,12 +154,12 @@
         self.store.put("keyed.servers", instance, entry)
 
     def drain(self, instance: str) -> None:
-        """Let a target leave; it goes on serving what comes."""
+        """Deregister a target, which still serves requests that reach it."""
         self.drained_at[instance] = time.monotonic()
         self.store.put("keyed.servers", instance, b"")
 
     def start(self, gateway: Gateway) -> None:
-        """Start a gateway's process."""
+        """Start a gateway process unless it is running."""
         if gateway.running:
             return
         gateway.start_count += 1
@@ -172,13 +172,13 @@
         )
 
     def signal(self, gateway: Gateway, number: int) -> None:
-        """Send a signal to a gateway's own process."""
+        """Send a signal to a gateway process if it is running."""
         if gateway.running:
             assert gateway.process is not None
             gateway.process.send_signal(number)
 
     def stop(self) -> None:
-        """End all that this run has started, by process."""
+        """Stop every process and server that this run started."""
         self.readiness_poller.kill()
         for gateway in self.gateways:
             self.signal(gateway, signal.SIGCONT)
@@ -251,14 +251,14 @@
                 gateway.ready = sock.recv(64).startswith(b"HTTP/1.1 200")
                 sock.close()
         except OSError:
-            gateway.ready = False  # the balancer's view: no answer is not ready
+            gateway.ready = False  # as for a load balancer, no answer means not ready
 
 
 def _free_ports(count: int) -> list[int]:
-    """Return free ports below those that systems give to outgoing connections.
+    """Return free ports below the ephemeral port range.
 
-    One of those may be taken by a connection of another run before the gateway
-    binds it.
+    An outgoing connection of another run could take an ephemeral port before the
+    gateway binds it.
     """
     bound: list[gevent.socket.socket] = []
     while len(bound) < count:
@@ -266,7 +266,7 @@
         try:
             sock.bind(("127.0.0.1", secrets.choice(GATEWAY_PORTS)))
         except OSError:
-            sock.close()  # taken; another one is drawn
+            sock.close()  # in use; draw another port
             continue
         bound.append(sock)
     ports = [sock.getsockname()[1] for sock in bound]
