--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -112,7 +112,7 @@
                 self.step(number)
 
     def newest_peer_offset(self, number: int) -> int:
-        """Newest offset that a peer serves which answers."""
+        """Return the newest offset served by any other daemon that is not paused."""
         return max(
             (
                 app.tables.through
@@ -123,7 +123,10 @@
         )
 
     def log_is_replayable(self) -> bool:
-        """Tell whether the log alone leads a new reader to the present."""
+        """Whether a new reader reaches the end of the log without help from peers.
+
+        Faults of the log are switched off during the check.
+        """
         reader = TablesReader(self.log)
         down, stale = self.log.down, self.log.stale_records
         self.log.down, self.log.stale_records = False, 0
@@ -139,7 +142,7 @@
         return kept[0].offset if kept else self.log_end()
 
     def gapless_daemons(self) -> set[int]:
-        """Daemons that can still go on without a hole."""
+        """Return the daemons that can continue reading the log without a gap."""
         return {
             number
             for number, app in self.apps.items()
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Small fakes and builders that several tests use."""
+"""Fakes, builders and helpers shared by several tests."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 class LocalDaemon:
-    """An application and its server on a port by the kernel, in this process."""
+    """An application and its server in this process, on a port chosen by the kernel."""
 
     def __init__(self, log_store=None, start_controllers=True, peers=None, **settings):
         self.app = Application(
@@ -113,19 +113,19 @@
 
 
 def append_edit(log_address, change):
-    """Append an edit to a log that is reached by HTTP."""
+    """Append an edit to a log service over HTTP."""
     log = HttpLogStore(Address.parse(log_address))
     log.append(TABLES_STREAM, codec.encode(change, TablesRecord)).unwrap()
 
 
 def status_of(address, method, path, body=b"", headers=None):
-    """Send one request and return the status of its answer, or 0 without one."""
+    """Send one request and return the status code, or 0 without an answer."""
     connections = HttpConnections(Address.parse(address))
     return connections.call(method, path, body, headers).value_or((0, b""))[0]
 
 
 def wait_until(condition, seconds=5.0):
-    """Wait for a condition that greenlets bring about; the bound only ends a hang."""
+    """Wait until greenlets make a condition true; the timeout only ends a hang."""
     end = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > end:
@@ -134,7 +134,7 @@
 
 
 def run_command(*arguments, environment=None):
-    """Run the command line as a process and return it when it has ended."""
+    """Run the ``agaterail`` command as a process and return its result."""
     return subprocess.run(
         [sys.executable, "-m", "agaterail", *arguments],
         cwd=ROOT,
@@ -147,7 +147,7 @@
 
 
 def free_port():
-    """Return a port that the kernel has just handed out."""
+    """Return a free port chosen by the kernel."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
--- a/tests/test_standins/test_engine.py
+++ b/tests/test_standins/test_engine.py
@@ -13,7 +13,7 @@
 
 
 class NaiveCache:
-    """List of keys, least recently used first."""
+    """Reference implementation: a list of keys, least recently used first."""
 
     def __init__(self):
         self.keys = []
@@ -73,9 +73,9 @@
         self.assertIn(b"c", held)
 
     def test_prefill_interrupted_by_crash_is_not_cached(self):
-        # The caller's stream is cut. The engine crashes while it computes a
-        # prompt and comes back empty; if the old computation still filled the
-        # new cache, hits would be reported that no engine could give.
+        # The engine crashes during a prefill and restarts with an empty cache. If
+        # the old prefill still filled the new cache, the stand-in would report hits
+        # that are impossible for a real engine. The caller's stream is cut.
         engine = EngineStandIn(EngineConfig(block_tokens=50, prefill_ms_per_token=0.1))
         crashed = job((b"a", b"b"))
         engine.jobs["id"] = crashed
--- a/tests/test_standins/test_load.py
+++ b/tests/test_standins/test_load.py
@@ -34,7 +34,7 @@
             self.assertFalse(judged(*frames).whole)
 
     def test_error_event_is_distinguished_from_cut_stream(self):
-        # Both end without the final frame, but only the first tells the caller
-        # that the answer is not whole and why.
+        # Both streams end without the final frame, but only the error event tells
+        # the caller that the answer is incomplete and why.
         self.assertIn("target_lost", judged(token(0), ERROR).error)
         self.assertEqual(judged(token(0)).error, "no final frame")
--- a/tests/test_standins/test_platform_engine.py
+++ b/tests/test_standins/test_platform_engine.py
@@ -9,9 +9,9 @@
 
 class PlatformTargetStandInTest(unittest.TestCase):
     def test_truncated_request_is_not_run(self):
-        # A proxy resets a connection in the middle of a head or a body. Taken
-        # for whole, a run without an id would be blamed on the gateway; a seed
-        # of the soak showed one.
+        # A proxy may reset a connection within the head or the body of a request.
+        # If the stand-in executed such a request, the soak would report a run
+        # without an ID as a fault of the gateway, as seed 136 did.
         target = PlatformTargetStandIn("t")
         host, _, port = target.start().rpartition(":")
         self.addCleanup(target.stop)
@@ -24,8 +24,8 @@
         self.assertEqual(target.runs, [])
 
     def test_repeated_header_values_are_joined(self):
-        # A gateway that passed a caller's own header on beside the one it sets
-        # would look right to a target that reads only the last.
+        # A target that reads only the last value would not notice a gateway that
+        # forwards a caller's header in addition to the one it sets itself.
         target = PlatformTargetStandIn("t")
         host, _, port = target.start().rpartition(":")
         self.addCleanup(target.stop)
--- a/tests/test_tools/test_oracle.py
+++ b/tests/test_tools/test_oracle.py
@@ -31,8 +31,8 @@
         return OraclePolicy().choose(placement, targets)
 
     def test_exact_queue_is_weighed_against_exact_cache(self):
-        # The second engine holds the prefix and has 100 ms of work before it;
-        # the first is idle and would compute 45 tokens, 40 of them again.
+        # The second engine has the prefix cached and 100 ms of work queued; the first
+        # is idle and would prefill all 45 tokens, 40 of which the second has cached.
         self.engines[1].cache.store(KEYS)
         self.engines[1]._predict_cache_and_queue = lambda: (self.engines[1].cache.keys, 100.0)
         for weight, expected in ((2.0, self.addresses[0]), (3.0, self.addresses[1])):
--- a/tests/test_tools/test_soak.py
+++ b/tests/test_tools/test_soak.py
@@ -8,9 +8,9 @@
 from tools.soak import run
 from tools.soak.run import soak
 
-# Seeds that failed once stay here with a line on the cause.
-# 1: the check took requests under way at the end for cut ones.
-# 136: the stand-in of a target took a request that was cut in its head for whole.
+# Regression seeds, each with the cause of its failure:
+# 1: the check reported requests that were in flight at the end as cut.
+# 136: the target stand-in executed a request that was cut within its head.
 SEEDS = (1, 136)
 SECONDS = 5.0
 
@@ -23,7 +23,7 @@
                 self.assertEqual(result.problems, [])
 
     def test_slow_start_is_reported_as_problem(self):
-        """A series of seeds ended at a late start, and nothing said how far it had come."""
+        """A slow start aborted a series of seeds without showing how far the start came."""
         limits = mock.patch.multiple(run, START_TIMEOUT_S=0.0, START_TIMEOUT_S_PER_GATEWAY=0.0)
         with limits, tempfile.TemporaryDirectory() as folder:
             result = soak(1, SECONDS, 1, 1, pathlib.Path(folder))
--- a/tests/test_tools/test_soak_proxy.py
+++ b/tests/test_tools/test_soak_proxy.py
@@ -11,7 +11,10 @@
 
 class ProxyTest(unittest.TestCase):
     def test_connection_survives_pause_beyond_connect_timeout(self):
-        """The proxy cut answers that paused for its connect timeout; gateways were blamed."""
+        """The proxy cut answers that paused longer than its connect timeout.
+
+        The soak then reported these cuts as faults of the gateways.
+        """
         target = PlatformTargetStandIn("e-0", "m1")
         target.pause_before, target.pause_s = 4, CONNECT_TIMEOUT_S + 0.3
         proxy = Proxy(target.start())
--- a/tests/tls.py
+++ b/tests/tls.py
@@ -1,4 +1,4 @@
-"""Certificates for tests."""
+"""Self-signed certificates for tests."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @attrs.frozen
 class TlsTestFiles:
-    """Paths of a certificate that signs itself, and of its key."""
+    """Paths of a self-signed certificate and its key."""
 
     certificate: str
     key: str
 
 
 def make_tls_files(test, hosts):
-    """Write a certificate for IP numbers into a directory that ends with the test."""
+    """Write a certificate for IP addresses into a directory removed after the test."""
     folder = pathlib.Path(test.enterContext(tempfile.TemporaryDirectory()))
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "agaterail test")])
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,4 +1,4 @@
-"""Start stand-ins and three daemons, send streamed requests, print what came back."""
+"""Start stand-ins and three daemons, send streaming requests and print the results."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def main() -> None:
-    """Run the demo; exit 0 only if every stream was whole and in order."""
+    """Run the demo; exit 0 only if every stream was complete and in order."""
     started = time.monotonic()
     with Fleet() as fleet, tempfile.TemporaryDirectory() as folder:
         fleet.start_platform()
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,4 @@
-"""Stand-ins and daemons as processes on loopback."""
+"""Stand-ins and daemons as local processes."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 def digest_of(api_key: str) -> str:
-    """Return the digest that a route names an API key by."""
+    """Return the digest that identifies an API key in a route."""
     return hashlib.sha256(api_key.encode()).hexdigest()
 
 
 @attrs.define
 class Daemon:
-    """One running daemon."""
+    """Addresses and process of one daemon."""
 
     address: str
     peer_address: str
@@ -49,14 +49,14 @@
 
 
 class Fleet:
-    """Processes that are ended together.
+    """Processes that are started for one run and stopped together.
 
     Parameters
     ----------
     host, first_port
-        Place of engines and daemons when their addresses must be the same
-        from run to run, since hashing looks at them; by default the kernel
-        chooses the ports.
+        IP address and first port of engines and daemons, for runs that need
+        the same addresses every time because placement hashes them. By
+        default, free ports are used.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """End all processes of the fleet, the daemons before the platform."""
+        """Stop all processes of the fleet, the daemons before the platform."""
         daemons = [daemon.process for daemon in self.daemons]
         self._terminate(daemons)
         self._terminate([process for process in self.processes if process not in daemons])
@@ -125,7 +125,7 @@
         self.kv_store = self.start_stand_in("kvstore")
 
     def start_engines(self, count: int, properties: Mapping[str, object]) -> None:
-        """Start engines and put them on the host list."""
+        """Start engines and add them to the host list."""
         for number in range(count):
             wanted = self.next_address() if self.fixed_ports else "127.0.0.1:0"
             address = self.start_stand_in("engine", properties, wanted)
@@ -133,7 +133,7 @@
             self.put_host(address, "engine", "live", DOMAINS[number % len(DOMAINS)])
 
     def start_daemons(self, count: int, flags: Sequence[str] = ()) -> None:
-        """Start daemons and wait until they answer."""
+        """Start daemons and wait until they are ready."""
         for _ in range(count):
             self.daemons.append(self.start_daemon(flags))
         for daemon in self.daemons:
@@ -142,7 +142,7 @@
     def start_daemon(
         self, flags: Sequence[str] = (), address: str = "", peer_address: str = ""
     ) -> Daemon:
-        """Start one daemon without waiting for it."""
+        """Start one daemon without waiting until it is ready."""
         number = len(self.daemons)
         address = address or self.next_address()
         peer_address = peer_address or self.next_address()
@@ -167,19 +167,19 @@
         return Daemon(address, peer_address, process)
 
     def next_address(self) -> str:
-        """Return a loopback address that no process of the fleet uses."""
+        """Return an address with a port that the fleet does not use yet."""
         self.last_port += 1
         while not self.fixed_ports and not is_free(self.last_port):
             self.last_port += 1
         return f"{self.host}:{self.last_port}"
 
     def put_host(self, address: str, role: str, state: str, domain: str) -> None:
-        """Change the host list."""
+        """Add, change or remove one host in the host list."""
         fields = {"address": address, "role": role, "state": state, "domain": domain}
         call(self.hosts, "POST", "/hosts", fields)
 
     def set_faults(self, address: str, **faults: object) -> None:
-        """Switch faults of a stand-in."""
+        """Configure faults of a stand-in by name."""
         call(address, "POST", "/control", faults)
 
 
@@ -193,7 +193,7 @@
 
 
 def wait_for(address: str, path: str, timeout_s: float = START_TIMEOUT_S) -> None:
-    """Wait until a GET is answered with 200."""
+    """Wait until a GET request is answered with status 200."""
     connections = HttpConnections(Address.parse(address))
     end = time.monotonic() + timeout_s
     while time.monotonic() < end:
@@ -201,20 +201,20 @@
         if isinstance(answer, Success) and answer.unwrap()[0] == 200:
             return
         time.sleep(0.05)
-    raise RuntimeError(f"{address}{path} did not answer in {timeout_s} s")
+    raise RuntimeError(f"{address}{path} was not answered with 200 within {timeout_s} s")
 
 
 def free_port_base() -> int:
-    """Return a port from which to look for free ones.
+    """Return a port at which to start the search for free ports.
 
-    It lies below the ports that the kernel gives to outgoing connections,
-    which would take a port between the look and the bind.
+    It lies below the ephemeral port range, because an outgoing connection could
+    take an ephemeral port between the check and the bind.
     """
     return FIRST_PORT + os.getpid() * PORTS_PER_FLEET % (LAST_PORT - FIRST_PORT)
 
 
 def is_free(port: int) -> bool:
-    """Tell whether a loopback port can be bound for TCP and UDP now."""
+    """Whether a loopback port can currently be bound for both TCP and UDP."""
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
@@ -230,7 +230,7 @@
     pool: Mapping[str, object],
     route: Mapping[str, object],
 ) -> str:
-    """Return table files for one engine pool and a route per workspace."""
+    """Return a table file with one engine pool and a route per workspace."""
     lines = ["[pools.assistant]", 'kind = "engine"', f'model = "{MODEL}"']
     entries = [
         f'{{address = "{address}", domain = "{DOMAINS[number % len(DOMAINS)]}"}}'
@@ -252,7 +252,7 @@
 
 
 def apply_tables(fleet: Fleet, text: str, folder: str) -> None:
-    """Write a table file and apply it with the product's own command."""
+    """Write a table file and apply it with ``agaterail apply``."""
     file = pathlib.Path(folder) / "tables.toml"
     file.write_text(text, encoding="utf-8")
     command = [sys.executable, "-m", "agaterail", "apply", str(file)]
--- a/tools/oracle.py
+++ b/tools/oracle.py
@@ -1,7 +1,8 @@
-"""Extension of the daemon: the ``cost`` policy on exact caches and queues.
+"""Daemon extension: the ``cost`` policy with exact cache and queue states.
 
-It asks every engine stand-in at each choice, which no real engine could
-answer in time, and so bounds from above what better knowledge can bring.
+It queries every engine stand-in for each decision, which real engines could
+not answer in time. Its results are an upper bound on what better information
+about caches and queues can gain.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 @attrs.frozen
 class ExactState:
-    """Exact state of an engine for one prompt."""
+    """Exact cached depth and queueing time of an engine for one prompt."""
 
     address: str
     blocks: int
@@ -37,7 +38,7 @@
 
 
 class OraclePolicy(Policy):
-    """Takes the place of the ``cost`` policy."""
+    """Policy that replaces the ``cost`` policy under the same name."""
 
     name = "cost"
 
@@ -45,11 +46,12 @@
         self.connections: dict[str, HttpConnections] = {}
 
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
-        """Return the target with the least exact cost."""
+        """Return the target with the lowest exact cost."""
         if placement.prefix is None:
             return None
         keys = [key.hex() for key in placement.prefix.keys]
-        # In hash order, so that equal costs do not all go to one engine.
+        # Rendezvous hash order, so that ties between equal costs do not always go
+        # to the same engine.
         addresses = [state.address for state in targets]
         order = rendezvous.ranked(placement.prefix.placement_key, addresses, len(addresses))
         queries = [gevent.spawn(self._query, address, keys) for address in order]
--- a/tools/overload.py
+++ b/tools/overload.py
@@ -1,7 +1,7 @@
-"""Offer one daemon 1, 2 and 4 times what its engines can do: ``python -m tools.overload``.
+"""Offer one daemon 1, 2 and 4 times its engines' capacity: ``python -m tools.overload``.
 
-Goodput counts streams that came whole with the first token before the deadline.
-Every refusal is checked against the engines' own journals.
+Goodput counts complete streams whose first token arrived before the deadline.
+Every refusal is checked against the journals of the engines.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @attrs.define
 class CallerResult:
-    """One request and what its caller got."""
+    """Result of one request for its caller."""
 
     workspace: int
     stream: StreamResult
@@ -48,11 +48,11 @@
     Attributes
     ----------
     goodput
-        Whole answers in time, a second.
+        Complete streams with the first token before the deadline, per second.
     untrue
-        Refusals said to be not run whose request is in an engine's journal.
+        Refusals reported as not run although an engine's journal has the request.
     small_p95_ms
-        95th percentile of the first token of the small workspaces.
+        95th percentile of the time to first token in the small workspaces.
     """
 
     name: str
@@ -67,12 +67,12 @@
 
 
 def capacity() -> float:
-    """Return the requests a second that the engines can prefill."""
+    """Return how many requests per second the engines can prefill."""
     return ENGINES * 1000.0 / (PROMPT_TOKENS * PREFILL_MS_PER_TOKEN)
 
 
 def main() -> None:
-    """Run the phases and print one row for each."""
+    """Run the phases and print one line for each."""
     parser = argparse.ArgumentParser(prog="tools.overload")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=8.0)
@@ -114,7 +114,7 @@
         ]
 
     def run(self, name: str, rate: float, choose_workspace: object) -> Phase:
-        """Offer requests at a rate, with exponential gaps, and judge the answers."""
+        """Offer requests with exponential gaps at a mean rate and summarize the results."""
         results: list[CallerResult] = []
         jobs = []
         end = time.monotonic() + self.seconds
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Write docs/reference from the code; the tests fail when the pages are stale."""
+"""Generate docs/reference from the code; the tests fail when the pages are stale."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     "tuple[TargetEntry, ...]": "list of {address, domain}",
     "PoolKind": "engine or service",
 }
-GENERATED_NOTE = "Written by `make reference` from the code; do not edit."
+GENERATED_NOTE = "Generated from the code by `make reference`; do not edit."
 
 
 def main() -> None:
@@ -39,12 +39,12 @@
 
 
 def pages() -> dict[str, str]:
-    """Return each page's name and text."""
+    """Return the text of each page by file name."""
     return {"settings.md": settings(), "tables.md": tables(), "metrics.md": metrics()}
 
 
 def settings() -> str:
-    """Return the page of the daemon's settings."""
+    """Return the page with the daemon's settings."""
     rows = []
     for field in attrs.fields(Settings):
         default = "none" if field.default in (None, "", ()) else str(field.default)
@@ -52,12 +52,15 @@
         rows.append((f"`{flag}`", f"`{variable}`", default, field.metadata["description"]))
     head = ("flag", "variable", "default", "meaning")
     return _page(
-        "Settings of `agaterail serve`", "A flag goes before its variable.", head, rows
+        "Settings of `agaterail serve`",
+        "A flag takes precedence over its variable.",
+        head,
+        rows,
     )
 
 
 def tables() -> str:
-    """Return the page of the fields of both tables."""
+    """Return the page with the fields of both tables."""
     parts = []
     for kind, section in ((Pool, "pools"), (Route, "routes")):
         meanings = _documented_attributes(kind)
@@ -78,7 +81,7 @@
 
 
 def metrics() -> str:
-    """Return the page of the metrics."""
+    """Return the page with the metrics."""
     rows = []
     for metric in METRICS:
         members = "" if metric.members is None else ", ".join(_member_values(metric.members))
@@ -111,7 +114,8 @@
 
 
 def _type_of(kind: type, name: str) -> str:
-    # The annotation as written: libraries resolve the attrs field's own.
+    # Uses the annotation as written in the source, because libraries replace the
+    # type in the attrs field by the resolved type.
     written = str(inspect.get_annotations(kind)[name])
     return TYPE_NAMES.get(written, written)
 
@@ -127,7 +131,10 @@
 
 
 def _documented_attributes(kind: type) -> dict[str, str]:
-    """Return the meanings in the Attributes section of a class; others are empty."""
+    """Return the description of each field from the Attributes section of a class.
+
+    Fields that the section does not list get an empty description.
+    """
     meanings = dict.fromkeys((field.name for field in attrs.fields(kind)), "")
     _, _, section = inspect.cleandoc(kind.__doc__ or "").partition("Attributes\n----------\n")
     for names, text in re.findall(r"^(\S.*)\n((?:    .*\n?)+)", section, re.MULTILINE):
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,6 +1,7 @@
 """Run the unit tests and print ``N passed, N failed`` as the last line.
 
-Tests named in KNOWN-RED.txt may fail; they are printed and counted apart.
+Tests listed in KNOWN-RED.txt may fail; such failures are printed as known and count
+neither as passed nor as failed.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class TimedResult(unittest.TextTestResult):
-    """Result that also keeps the time of each test."""
+    """Test result that also records the duration of each test."""
 
     def __init__(self, *arguments: object, **named: object) -> None:
         super().__init__(*arguments, **named)  # type: ignore[arg-type]
@@ -33,18 +34,18 @@
         self.started_at = 0.0
 
     def startTest(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Note the start."""
+        """Record the start time."""
         self.started_at = time.monotonic()
         super().startTest(test)
 
     def stopTest(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Note the end."""
+        """Record the duration."""
         self.times.append((time.monotonic() - self.started_at, test.id()))
         super().stopTest(test)
 
 
 def main() -> None:
-    """Run all tests, or those whose dotted names are given."""
+    """Run the tests with the given dotted names, or all tests if there are none."""
     hypothesis.settings.register_profile(
         "ci", derandomize=True, deadline=None, database=None, print_blob=False
     )
@@ -78,7 +79,7 @@
 
 
 def _known_red_commands() -> list[str]:
-    """Return the lines that name no test but a command to run by hand."""
+    """Return the lines that name a command to run by hand instead of a test."""
     return [line for line in _known_red_lines() if not line.startswith("tests.")]
 
 
