--- a/standins/base.py
+++ b/standins/base.py
@@ -116,10 +116,11 @@
         return handler(call)
 
     def _consume_fault(self, fault: str) -> bool:
-        left = getattr(self.faults, fault)
-        if left <= 0:
+        """Decrement a counted fault and return whether it applies to this call."""
+        remaining = getattr(self.faults, fault)
+        if remaining <= 0:
             return False
-        setattr(self.faults, fault, left - 1)
+        setattr(self.faults, fault, remaining - 1)
         return True
 
     def _control(self, call: Call) -> Answer:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,6 +1,7 @@
 """Stand-in for a model engine with a bounded prefix cache.
 
-Prefill and decoding take simulated time; tokens are derived from the prompt.
+Prefill and decoding only wait for the configured time; tokens are derived from
+the prompt.
 """
 
 from __future__ import annotations
@@ -68,9 +69,9 @@
     cut_after_frames
         Number of frames after which the next stream is cut; 0 cuts none.
     event_loss
-        Fraction of cache events that are never published.
+        Fraction of cache events that are never delivered.
     event_delay_ms, load_lag_ms
-        Age of the published events and of the reported load.
+        Age of the delivered events and of the reported load.
     load_frozen
         Report the load from the oldest recorded report.
     skip_frame, repeat_frame
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -30,9 +30,9 @@
     outcome: str = "open"
     ended_at: float = 0.0
 
-    def end(self, how: str) -> None:
+    def end(self, outcome: str) -> None:
         """Record the outcome and the time of the end."""
-        self.outcome, self.ended_at = how, time.monotonic()
+        self.outcome, self.ended_at = outcome, time.monotonic()
 
 
 class PlatformTargetStandIn:
@@ -230,14 +230,14 @@
         self.version = version
         self.on_loaded()
 
-    def _send_json(self, sock: socket.socket, status: int, found: Any) -> bool:
-        return self._send(sock, status, {}, json.dumps(found).encode())
+    def _send_json(self, sock: socket.socket, status: int, fields: Any) -> bool:
+        return self._send(sock, status, {}, json.dumps(fields).encode())
 
     def _send(
         self, sock: socket.socket, status: int, headers: dict[str, str], body: bytes = b""
     ) -> bool:
-        whole = {**headers, "Content-Length": str(len(body))}
-        sock.sendall(_head(status, whole) + body)
+        all_headers = {**headers, "Content-Length": str(len(body))}
+        sock.sendall(_head(status, all_headers) + body)
         return True
 
 
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -57,10 +57,10 @@
         if self.down:
             return Answer(503)
         name = call.path.rpartition("/log-")[2]
-        found = getattr(self, f"_{name.replace('-', '_')}", None)
-        if found is None:
+        handler = getattr(self, f"_{name.replace('-', '_')}", None)
+        if handler is None:
             return Answer(404)
-        answer = found(call)
+        answer = handler(call)
         if self.lose_writes and call.method == "POST" and name == "append":
             gevent.sleep(30.0)
         return answer
@@ -110,10 +110,10 @@
         if self.down:
             return Answer(503)
         self.reads[call.query["topic"]] += 1
-        most_bytes = int(call.query.get("max_kb", DEFAULT_MAX_KB)) * 1024
+        max_bytes = int(call.query.get("max_kb", DEFAULT_MAX_KB)) * 1024
         body = READ_HEADER.pack(len(log), first)
         for content in log[start:]:
-            if len(body) > READ_HEADER.size and len(body) + len(content) > most_bytes:
+            if len(body) > READ_HEADER.size and len(body) + len(content) > max_bytes:
                 break
             body += RECORD_LENGTH.pack(len(content)) + content
         return Answer(200, body)
@@ -138,22 +138,22 @@
         return json_answer({"items": rows[:PAGE_ROWS], "has_more": more, "end": len(log)})
 
     def _join(self, call: Call) -> Answer:
-        found = call.json()
-        members = self._live_members(found["group"])
-        if found["member"] not in members:
+        fields = call.json()
+        members = self._live_members(fields["group"])
+        if fields["member"] not in members:
             self.generation += 1
-        ends = time.monotonic() + found["ttl_ms"] / 1e3
-        members[found["member"]] = _Member(ends, found["topics"])
+        ends = time.monotonic() + fields["ttl_ms"] / 1e3
+        members[fields["member"]] = _Member(ends, fields["topics"])
         rows = [
             [topic, part, 0]
-            for topic, part, member in self._assignments(found["group"])
-            if member == found["member"]
+            for topic, part, member in self._assignments(fields["group"])
+            if member == fields["member"]
         ]
         return json_answer({"generation": self.generation, "parts": rows})
 
     def _leave(self, call: Call) -> Answer:
-        found = call.json()
-        if self._live_members(found["group"]).pop(found["member"], None):
+        fields = call.json()
+        if self._live_members(fields["group"]).pop(fields["member"], None):
             self.generation += 1
         return json_answer({})
 
@@ -162,6 +162,7 @@
         return json_answer({"owners": rows})
 
     def _live_members(self, group: str) -> dict[str, _Member]:
+        """Return the members of a group after removing the expired ones."""
         members = self.members.setdefault(group, {})
         for name in [n for n, m in members.items() if m.deadline < time.monotonic()]:
             del members[name]
@@ -169,15 +170,16 @@
         return members
 
     def _assignments(self, group: str) -> list[tuple[str, int, str]]:
+        """Return rows of topic, partition and member, assigned round-robin."""
         members = self._live_members(group)
         topics = sorted({topic for member in members.values() for topic in member.topics})
         names = sorted(members)
-        places = [(topic, part) for topic in topics for part in range(PARTITIONS)]
+        partitions = [(topic, part) for topic in topics for part in range(PARTITIONS)]
         # Offset by the topic, so that the first partitions of all topics do not go to
         # the same member.
         return [
             (topic, part, names[(part + topics.index(topic)) % len(names)])
-            for topic, part in places
+            for topic, part in partitions
         ]
 
 
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -18,7 +18,7 @@
 
 
 class WeightsStandIn(StandIn):
-    """Weight store whose loads take simulated time."""
+    """Weight store whose loads only wait for the configured time."""
 
     def __init__(self) -> None:
         super().__init__(WeightFaults())
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -130,16 +130,16 @@
         reader = TablesReader(self.log)
         down, stale = self.log.down, self.log.stale_records
         self.log.down, self.log.stale_records = False, 0
-        found = isinstance(editing.read_to_end(reader), Success)
+        reached_end = isinstance(editing.read_to_end(reader), Success)
         self.log.down, self.log.stale_records = down, stale
-        return found
+        return reached_end
 
     def log_end(self) -> int:
         return self.log.next_offset.get(TABLES_STREAM, 0)
 
     def log_start(self) -> int:
-        kept = self.log.streams.get(TABLES_STREAM, [])
-        return kept[0].offset if kept else self.log_end()
+        records = self.log.streams.get(TABLES_STREAM, [])
+        return records[0].offset if records else self.log_end()
 
     def gapless_daemons(self) -> set[int]:
         """Return the daemons that can continue reading the log without a gap."""
--- a/tests/support.py
+++ b/tests/support.py
@@ -107,8 +107,8 @@
         return self.post("/v1/chat/completions", json.dumps(body).encode(), headers)
 
     def post(self, path, body=b"", headers=None):
-        heads = {"authorization": f"Bearer {API_KEY}", **(headers or {})}
-        response = self.connections.send("POST", path, body, heads).unwrap()
+        all_headers = {"authorization": f"Bearer {API_KEY}", **(headers or {})}
+        response = self.connections.send("POST", path, body, all_headers).unwrap()
         return response, response.read()
 
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -72,8 +72,8 @@
     reasons = collections.Counter(item.reason for item in results)
     print(f"whole streams: {len(whole)} of {len(results)}")
     print(f"prefix hit rate: {hit_rate:.3f}")
-    for part in (0.5, 0.95, 0.99):
-        print(f"first token p{part * 100:.0f}: {first[int(len(first) * part)]:.0f} ms")
+    for quantile in (0.5, 0.95, 0.99):
+        print(f"first token p{quantile * 100:.0f}: {first[int(len(first) * quantile)]:.0f} ms")
     print("reasons: " + ", ".join(f"{name} {count}" for name, count in reasons.most_common()))
     print(f"took {seconds:.1f} s")
 
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -20,11 +20,11 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 FOLDER = ROOT / "docs" / "reference"
 TYPE_NAMES = {
-    "str": "text",
-    "int": "whole number",
+    "str": "string",
+    "int": "integer",
     "float": "number",
     "bool": "true or false",
-    "tuple[str, ...]": "list of texts",
+    "tuple[str, ...]": "list of strings",
     "tuple[TargetEntry, ...]": "list of {address, domain}",
     "PoolKind": "engine or service",
 }
@@ -50,7 +50,7 @@
         default = "none" if field.default in (None, "", ()) else str(field.default)
         flag, variable = Settings.flag_of(field.name), Settings.variable_of(field.name)
         rows.append((f"`{flag}`", f"`{variable}`", default, field.metadata["description"]))
-    head = ("flag", "variable", "default", "meaning")
+    head = ("flag", "variable", "default", "description")
     return _page(
         "Settings of `agaterail serve`",
         "A flag takes precedence over its variable.",
@@ -63,18 +63,18 @@
     """Return the page with the fields of both tables."""
     parts = []
     for kind, section in ((Pool, "pools"), (Route, "routes")):
-        meanings = _documented_attributes(kind)
+        descriptions = _documented_attributes(kind)
         rows = [
             (
                 f"`{field.name}`",
                 _type_of(kind, field.name),
                 _default_of(field),
-                meanings[field.name],
+                descriptions[field.name],
             )
             for field in attrs.fields(kind)
             if field.name != "name"
         ]
-        head = ("field", "type", "default", "meaning")
+        head = ("field", "type", "default", "description")
         text = f"Section `[{section}.NAME]` of a table file (TOML)."
         parts.append(_page(f"Fields of `{section}`", text, head, rows))
     return "\n".join(parts)
@@ -87,7 +87,7 @@
         members = "" if metric.members is None else ", ".join(_member_values(metric.members))
         name = metric.name.replace("{}", "*")
         rows.append((f"`{name}`", metric.kind.value, metric.unit, metric.description, members))
-    head = ("name", "kind", "unit", "meaning", "* is one of")
+    head = ("name", "kind", "unit", "description", "values of *")
     return _page("Metrics (statsd)", f"Each name starts with `{PREFIX}.`.", head, rows)
 
 
@@ -135,12 +135,12 @@
 
     Fields that the section does not list get an empty description.
     """
-    meanings = dict.fromkeys((field.name for field in attrs.fields(kind)), "")
+    descriptions = dict.fromkeys((field.name for field in attrs.fields(kind)), "")
     _, _, section = inspect.cleandoc(kind.__doc__ or "").partition("Attributes\n----------\n")
     for names, text in re.findall(r"^(\S.*)\n((?:    .*\n?)+)", section, re.MULTILINE):
         for name in names.split(", "):
-            meanings[name] = " ".join(text.split())
-    return meanings
+            descriptions[name] = " ".join(text.split())
+    return descriptions
 
 
 if __name__ == "__main__":
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -75,9 +75,9 @@
                 "w2" in scope
             ):
                 self.problems.append(f"{name}: executed in cache scope {scope!r}")
-            taken = self.testbed.revoked_at.get(request.key)
-            if taken is not None and request.sent_at > taken + REVOKE_S:
-                late = request.sent_at - taken
+            revoked_at = self.testbed.revoked_at.get(request.key)
+            if revoked_at is not None and request.sent_at > revoked_at + REVOKE_S:
+                late = request.sent_at - revoked_at
                 self.problems.append(
                     f"{name}: executed {late:.1f} s after its key was revoked"
                 )
@@ -100,10 +100,10 @@
         for request in sorted(self.requests, key=lambda item: item.sent_at):
             if not request.kind.startswith("v") or request.status not in (200, 404):
                 continue
-            place, version = (request.gateway, request.gateway_start), int(request.kind[1:])
+            process, version = (request.gateway, request.gateway_start), int(request.kind[1:])
             if request.status == 200:
-                newest[place] = max(newest.get(place, 0), version)
-            elif newest.get(place, 0) == version:
+                newest[process] = max(newest.get(process, 0), version)
+            elif newest.get(process, 0) == version:
                 self.problems.append(
                     f"{request.request_id}: a route of version {version} disappeared again"
                 )
@@ -146,8 +146,8 @@
         for request in self.requests:
             # A request still in flight when the run ends has ``ended_at`` 0 and is
             # not checked.
-            cut = not request.complete and request.raw_answer and request.ended_at
-            if cut and not self._overlaps_fault(
+            aborted = not request.complete and request.raw_answer and request.ended_at
+            if aborted and not self._overlaps_fault(
                 request.sent_at - 3.0, request.ended_at, skip="stop"
             ):
                 self.problems.append(f"{request.request_id}: cut by {request.gateway}")
--- a/tools/soak/proxy.py
+++ b/tools/soak/proxy.py
@@ -12,6 +12,7 @@
 from tools.soak.connecting import connect
 
 CHUNK_BYTES = 65536
+# SO_LINGER enabled with a timeout of 0, so that closing a socket sends a reset.
 LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
 
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -54,9 +54,9 @@
     """Run gateways under faults and check the guarantees."""
     testbed = Testbed(folder, gateways)
     try:
-        late = _wait_until_ready(testbed)
-        if late:
-            return SoakResult(seed, 0, 0, 0, late)
+        start_problems = _wait_until_ready(testbed)
+        if start_problems:
+            return SoakResult(seed, 0, 0, 0, start_problems)
         all_callers = [Caller(testbed, number, seed) for number in range(callers)]
         caller_greenlets = [gevent.spawn(caller.run) for caller in all_callers]
         injector = FaultInjector(testbed, seed, in_rounds)
@@ -89,13 +89,13 @@
     The problem includes the last line of the gateway's log, which shows how far its
     start came.
     """
-    limit_s = START_TIMEOUT_S + len(testbed.gateways) * START_TIMEOUT_S_PER_GATEWAY
-    until = time.monotonic() + limit_s
+    timeout_s = START_TIMEOUT_S + len(testbed.gateways) * START_TIMEOUT_S_PER_GATEWAY
+    deadline = time.monotonic() + timeout_s
     while any(not gateway.ready for gateway in testbed.gateways):
-        if time.monotonic() >= until:
+        if time.monotonic() >= deadline:
             late = [gateway for gateway in testbed.gateways if not gateway.ready]
             return [
-                f"{gateway.name}: not ready after {limit_s:.1f} s: {gateway.last_line}"
+                f"{gateway.name}: not ready after {timeout_s:.1f} s: {gateway.last_line}"
                 for gateway in late
             ]
         gevent.sleep(0.05)
