--- a/agaterail/application.py
+++ b/agaterail/application.py
@@ -54,7 +54,7 @@
 
 logger = logs.get_logger("main")
 
-BUILTIN_PARTS = (
+BUILTIN_MODULES = (
     "agaterail.policies.simple",
     "agaterail.policies.cost",
     "agaterail.filters.identify",
@@ -104,14 +104,14 @@
         host_list: HostList | None = None,
         metrics: Metrics | None = None,
         peers: Peers | None = None,
-        parts: Iterable[str] = BUILTIN_PARTS,
+        modules: Iterable[str] = BUILTIN_MODULES,
     ) -> None:
         self.settings = settings
         self.timers = timers or GeventTimerService()
         self.log_store = log_store or HttpLogStore(settings.log_service)
         self.host_list = host_list or _host_list(settings)
         self.metrics = metrics or _metrics(settings)
-        self.peers = peers or _lone_peers(settings)
+        self.peers = peers or _in_memory_peers(settings)
         self.members = MemberView(self.peers.own_address)
         self.events = EventBus()
         self.tables = Tables()
@@ -130,7 +130,7 @@
         self.retry_budget = RetryBudget()
         self.draining = False
         self.in_flight = 0
-        for name in (*parts, *settings.extensions):
+        for name in (*modules, *settings.extensions):
             importlib.import_module(name).setup(self)
         self.chain = FilterChain(self.filters)
 
@@ -201,7 +201,7 @@
             # request would otherwise be held for good, and a drain never end.
             exchange.finish(Outcome.UNKNOWN)
             raise
-        self._measure(exchange, result)
+        self._record_metrics(exchange, result)
         return exchange, result
 
     def policy_of(self, pool: Pool) -> Policy:
@@ -229,13 +229,15 @@
         own = {"version": __version__, "ready": self.ready, "in_flight": self.in_flight}
         return {**own, **parts}
 
-    def _measure(self, exchange: Exchange, result: Result[Reply, errors.Failure]) -> None:
+    def _record_metrics(
+        self, exchange: Exchange, result: Result[Reply, errors.Failure]
+    ) -> None:
         if exchange.attempt:
             self.metrics.count("attempts", exchange.attempt)
         if not isinstance(result, Success):
             self.metrics.count(f"errors.{result.failure().kind.value}")
             return
-        self.metrics.timing("first_part", self._age_ms(exchange))
+        self.metrics.timing("first_part", self._elapsed_ms(exchange))
         if exchange.prefix is not None and exchange.decision is not None:
             assert exchange.pool is not None
             hit_tokens = exchange.decision.hit_blocks * exchange.pool.block_tokens
@@ -245,13 +247,13 @@
     def _on_finish(self, exchange: Exchange, outcome: errors.Outcome) -> None:
         self.in_flight -= 1
         self.metrics.count(f"requests.{outcome.value}")
-        self.metrics.timing("request", self._age_ms(exchange))
+        self.metrics.timing("request", self._elapsed_ms(exchange))
 
-    def _age_ms(self, exchange: Exchange) -> float:
+    def _elapsed_ms(self, exchange: Exchange) -> float:
         return (self.timers.now() - exchange.received_at) * 1e3
 
 
-def _lone_peers(settings: Settings) -> Peers:
+def _in_memory_peers(settings: Settings) -> Peers:
     network = MemoryNetwork()
     own = str(settings.peer_listen)
     return Peers(
--- a/agaterail/callerwatch.py
+++ b/agaterail/callerwatch.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-READ = 1
+READ_EVENT = 1
 TLS_ALERT = b"\x15"
 
 
@@ -30,7 +30,7 @@
     def __init__(self, sock: Any) -> None:
         self.sock = sock
         self.greenlet = gevent.getcurrent()
-        self.watcher = gevent.get_hub().loop.io(sock.fileno(), READ)
+        self.watcher = gevent.get_hub().loop.io(sock.fileno(), READ_EVENT)
         self.watcher.start(self._on_readable)
 
     def stop(self) -> None:
@@ -44,18 +44,18 @@
         # Either the end of the connection or the next request of a caller
         # that sends ahead; the latter stays in the kernel's buffer.
         self.stop()
-        if _has_ended(self.sock.fileno()):
+        if _is_closed(self.sock.fileno()):
             self.greenlet.kill(CallerLeft, block=False)
 
 
-def _has_ended(number: int) -> bool:
-    view = _socket.socket(fileno=number)
+def _is_closed(fileno: int) -> bool:
+    alias = _socket.socket(fileno=fileno)
     try:
-        data = view.recv(1, _socket.MSG_PEEK | _socket.MSG_DONTWAIT)
+        data = alias.recv(1, _socket.MSG_PEEK | _socket.MSG_DONTWAIT)
     except BlockingIOError:
         return False
     except OSError:
         return True
     finally:
-        view.detach()
+        alias.detach()
     return data in (b"", TLS_ALERT)
--- a/agaterail/errors.py
+++ b/agaterail/errors.py
@@ -20,7 +20,7 @@
     UNKNOWN = "unknown"
 
 
-class Waste(enum.Enum):
+class WasteReason(enum.Enum):
     """Why work of an engine was of no use to a caller."""
 
     LEFT = "left"
--- a/agaterail/exchange.py
+++ b/agaterail/exchange.py
@@ -66,7 +66,7 @@
     resuming: bool = False
     watch: CallerWatch | None = None
     answer_headers: dict[str, str] = attrs.field(factory=dict)
-    finishers: list[Callable[[Outcome], None]] = attrs.field(factory=list)
+    finish_callbacks: list[Callable[[Outcome], None]] = attrs.field(factory=list)
 
     @property
     def at_most_once(self) -> bool:
@@ -80,15 +80,15 @@
 
     def on_finish(self, callback: Callable[[Outcome], None]) -> None:
         """Call back once when the last byte was sent or the request failed."""
-        self.finishers.append(callback)
+        self.finish_callbacks.append(callback)
 
     def finish(self, outcome: Outcome) -> None:
         """Record the outcome and release what the filters hold, once."""
         if self.outcome is not None:
             return
         self.outcome = outcome
-        while self.finishers:
-            self.finishers.pop()(outcome)
+        while self.finish_callbacks:
+            self.finish_callbacks.pop()(outcome)
 
 
 @attrs.define(kw_only=True)
--- a/agaterail/filters/__init__.py
+++ b/agaterail/filters/__init__.py
@@ -41,19 +41,19 @@
 
     def run(self, exchange: Exchange) -> Result[Reply, errors.Failure]:
         """Pass a request through all filters."""
-        return self._step(0, exchange)
+        return self._handle_from(0, exchange)
 
     def run_from(self, order: int, exchange: Exchange) -> Result[Reply, errors.Failure]:
         """Pass a request through the filters from a place on, to start it anew."""
         index = next(
-            (place for place, item in enumerate(self.filters) if item.order >= order),
+            (position for position, item in enumerate(self.filters) if item.order >= order),
             len(self.filters),
         )
-        return self._step(index, exchange)
+        return self._handle_from(index, exchange)
 
-    def _step(self, index: int, exchange: Exchange) -> Result[Reply, errors.Failure]:
+    def _handle_from(self, index: int, exchange: Exchange) -> Result[Reply, errors.Failure]:
         if index == len(self.filters):
             return Failure(errors.Failure(errors.ErrorKind.INTERNAL, "No filter answered."))
         return self.filters[index].handle(
-            exchange, lambda passed: self._step(index + 1, passed)
+            exchange, lambda passed: self._handle_from(index + 1, passed)
         )
--- a/agaterail/filters/choose.py
+++ b/agaterail/filters/choose.py
@@ -11,7 +11,7 @@
 from agaterail.candidates import PrefixSample, sample_prefix
 from agaterail.errors import ErrorKind, Outcome
 from agaterail.filters import Filter
-from agaterail.filters.prefix import name, prefix_in
+from agaterail.filters.prefix import assign_prefix, prefix_for_scope
 from agaterail.policies import Placement
 from agaterail.transfers import Source
 
@@ -26,7 +26,7 @@
 
 logger = logs.get_logger("choose")
 
-KEPT_TIMEOUT_S = 0.02
+KV_STORE_TIMEOUT_S = 0.02
 
 
 class ChooseFilter(Filter):
@@ -46,7 +46,7 @@
             return Failure(errors.Failure(ErrorKind.DEADLINE_EXCEEDED_BEFORE_RUN))
         scope = exchange.scope
         if scope is not None and scope.weights_version != pool.weights_version:
-            name(exchange, pool.weights_version)
+            assign_prefix(exchange, pool.weights_version)
         placement = Placement(
             pool=pool,
             route=route,
@@ -55,10 +55,10 @@
             now=now,
         )
         policy = self.app.policy_of(pool)
-        short = None
+        sample = None
         if policy.queries_homes and exchange.prefix is not None:
-            short = sample_prefix(exchange.prefix)
-        chosen = self._choose(exchange, policy, placement, short)
+            sample = sample_prefix(exchange.prefix)
+        chosen = self._choose(exchange, policy, placement, sample)
         if not isinstance(chosen, Success):
             return Failure(chosen.failure())
         exchange.decision = decision = chosen.unwrap()
@@ -72,27 +72,27 @@
             reason=decision.reason,
             **dict(decision.terms),
         )
-        if short is None:
-            self._rename(exchange, decision)
+        if sample is None:
+            self._rescope(exchange, decision)
             return proceed(exchange)
-        return self._proceed_told(exchange, proceed, decision, short)
+        return self._proceed_with_notices(exchange, proceed, decision, sample)
 
     def _choose(
         self,
         exchange: Exchange,
         policy: Policy,
         placement: Placement,
-        short: PrefixSample | None,
+        sample: PrefixSample | None,
     ) -> Result[Decision, errors.Failure]:
         targets = None
-        if short is not None:
+        if sample is not None:
             entries = policy.candidates(placement, exchange.excluded)
             states = [self.app.targets.state_of(entry) for entry in entries]
             targets = [state for state in states if state.usable(placement.now)]
-            asked = [state.address for state in targets]
-            views = self._ask(exchange, asked, short) if asked else {}
+            addresses = [state.address for state in targets]
+            views = self._query_candidates(exchange, addresses, sample) if addresses else {}
             placement = attrs.evolve(placement, views=views)
-            placement = attrs.evolve(placement, kept=self._kept(placement))
+            placement = attrs.evolve(placement, kept=self._query_kv_store(placement))
         if not targets:
             targets = self.app.targets.usable(placement.pool, placement.now, exchange.excluded)
         if not targets:
@@ -102,25 +102,29 @@
             return Failure(errors.Failure(ErrorKind.OVERLOADED))
         return Success(decision)
 
-    def _ask(
-        self, exchange: Exchange, asked: list[str], short: PrefixSample
+    def _query_candidates(
+        self, exchange: Exchange, addresses: list[str], sample: PrefixSample
     ) -> dict[str, CandidateState]:
         assert exchange.pool is not None and exchange.scope is not None
-        views = dict(self.app.candidates.query(asked, short))
+        views = dict(self.app.candidates.query(addresses, sample))
         for version in exchange.pool.also_serve:
-            older = [address for address in asked if _version(views, address) == version]
+            older = [
+                address
+                for address in addresses
+                if _weights_version_of(views, address) == version
+            ]
             if older and version != exchange.scope.weights_version:
                 # Blocks of the older weights have keys of their own.
                 scope = attrs.evolve(exchange.scope, weights_version=version)
-                named = sample_prefix(prefix_in(exchange, scope))
-                views.update(self.app.candidates.query(older, named))
+                older_sample = sample_prefix(prefix_for_scope(exchange, scope))
+                views.update(self.app.candidates.query(older, older_sample))
         for address, view in views.items():
             # A home's report lags; what the target itself answered goes first.
             state = self.app.targets.states[address]
             state.weights_version = state.weights_version or view.weights_version
         return views
 
-    def _rename(self, exchange: Exchange, decision: Decision) -> bool:
+    def _rescope(self, exchange: Exchange, decision: Decision) -> bool:
         """Name the prompt anew when the target serves other weights of the pool."""
         pool, scope = exchange.pool, exchange.scope
         if pool is None or scope is None:
@@ -129,36 +133,36 @@
         version = version if version and pool.serves(version) else pool.weights_version
         if not pool.weights_version or version == scope.weights_version:
             return False
-        name(exchange, version)
+        assign_prefix(exchange, version)
         return True
 
-    def _kept(self, placement: Placement) -> Source | None:
+    def _query_kv_store(self, placement: Placement) -> Source | None:
         """Ask the kept store when no candidate holds the whole shared prefix."""
         store, prefix = self.app.kv_store, placement.prefix
         if store is None or prefix is None or placement.pool.import_ms_per_block <= 0:
             return None
-        shared = transfers.shared_blocks(prefix)
+        shared_blocks = transfers.shared_blocks(prefix)
         depth = max((view.depth for view in placement.views.values()), default=0)
-        if depth >= shared or not self.app.imports.usable(store.address, placement.now):
+        if depth >= shared_blocks or not self.app.imports.usable(store.address, placement.now):
             return None
-        kept = store.kept(prefix.keys[:shared], KEPT_TIMEOUT_S).value_or(0)
+        kept = store.kept(prefix.keys[:shared_blocks], KV_STORE_TIMEOUT_S).value_or(0)
         return Source(store.address, kept) if kept else None
 
-    def _proceed_told(
-        self, exchange: Exchange, proceed: Proceed, decision: Decision, short: PrefixSample
+    def _proceed_with_notices(
+        self, exchange: Exchange, proceed: Proceed, decision: Decision, sample: PrefixSample
     ) -> Result[Reply, errors.Failure]:
-        if self._rename(exchange, decision):
+        if self._rescope(exchange, decision):
             assert exchange.prefix is not None
-            short = sample_prefix(exchange.prefix)
+            sample = sample_prefix(exchange.prefix)
         assert exchange.prefix is not None and exchange.pool is not None
         address, dispatch_id = decision.address, exchange.attempt_id
         hit_tokens = decision.hit_blocks * exchange.pool.block_tokens
         missing = max(0, exchange.prefix.prompt_tokens - hit_tokens)
         if decision.transfer is not None:
-            copied = decision.transfer.end - decision.transfer.start
-            missing = max(0, missing - copied * exchange.pool.block_tokens)
+            imported = decision.transfer.end - decision.transfer.start
+            missing = max(0, missing - imported * exchange.pool.block_tokens)
         finder = self.app.candidates
-        finder.notify_dispatch(address, dispatch_id, missing, short.keys)
+        finder.notify_dispatch(address, dispatch_id, missing, sample.keys)
         result = proceed(exchange)
         if isinstance(result, Success):
             exchange.on_finish(lambda _: finder.notify_finish(address, dispatch_id, True))
@@ -168,7 +172,7 @@
         return result
 
 
-def _version(views: Mapping[str, CandidateState], address: str) -> str:
+def _weights_version_of(views: Mapping[str, CandidateState], address: str) -> str:
     view = views.get(address)
     return "" if view is None else view.weights_version
 
--- a/agaterail/filters/claim.py
+++ b/agaterail/filters/claim.py
@@ -28,8 +28,8 @@
 MAX_KEY_CHARS = 255
 CLAIM_WAIT_S = 3.0
 DIGEST_BYTES = 16
-ERROR_STATUS_FROM = 400
-RECORDED = {
+MIN_ERROR_STATUS = 400
+CLAIM_OUTCOMES = {
     Outcome.COMPLETED: ClaimOutcome.COMPLETED,
     Outcome.FAILED_AT_TARGET: ClaimOutcome.FAILED,
     Outcome.UNKNOWN: ClaimOutcome.UNKNOWN,
@@ -68,8 +68,8 @@
             exchange.request_id,
             _request_hash(exchange),
         )
-        left_s = exchange.deadline_at - self.app.timers.now()
-        verdict = self.controller.claim(claim, max(0.0, min(CLAIM_WAIT_S, left_s)))
+        remaining_s = exchange.deadline_at - self.app.timers.now()
+        verdict = self.controller.claim(claim, max(0.0, min(CLAIM_WAIT_S, remaining_s)))
         logger.info(
             "Judged a claim.",
             request=exchange.request_id,
@@ -86,7 +86,7 @@
             # it runs, would be taken for this one's.
             detail = "The idempotency key was used for another request."
             return Failure(errors.Failure(ErrorKind.BAD_REQUEST, detail))
-        return self._tell(verdict)
+        return self._answer_duplicate(verdict)
 
     def _run(
         self, exchange: Exchange, claim: Claim, proceed: Proceed
@@ -102,20 +102,22 @@
             return result
         reply = result.unwrap()
         if isinstance(reply.body, bytes):
-            self._record_whole(claim, reply, reply.body)
+            self._record_answer(claim, reply, reply.body)
         else:
             exchange.on_finish(lambda outcome: self._record(claim, outcome))
         return result
 
     def _record(self, claim: Claim, outcome: Outcome) -> None:
-        recorded = RECORDED.get(outcome)
-        if recorded is None:
+        claim_outcome = CLAIM_OUTCOMES.get(outcome)
+        if claim_outcome is None:
             self.controller.release(Release(claim.key, claim.attempt))
             return
-        self.controller.finish(Finish(key=claim.key, attempt=claim.attempt, outcome=recorded))
+        self.controller.finish(
+            Finish(key=claim.key, attempt=claim.attempt, outcome=claim_outcome)
+        )
 
-    def _record_whole(self, claim: Claim, reply: Reply, body: bytes) -> None:
-        failed = reply.status >= ERROR_STATUS_FROM
+    def _record_answer(self, claim: Claim, reply: Reply, body: bytes) -> None:
+        failed = reply.status >= MIN_ERROR_STATUS
         small = len(body) <= claims.MAX_BODY_BYTES
         self.controller.finish(
             Finish(
@@ -129,7 +131,7 @@
             )
         )
 
-    def _tell(self, verdict: Verdict) -> Result[Reply, errors.Failure]:
+    def _answer_duplicate(self, verdict: Verdict) -> Result[Reply, errors.Failure]:
         finish = verdict.finish
         if finish is None:
             if verdict.holder and self.controller.is_running(verdict.holder, verdict.holding):
@@ -152,9 +154,9 @@
 
 
 def _request_hash(exchange: Exchange) -> bytes:
-    words = (exchange.method, exchange.path, exchange.query)
+    parts = (exchange.method, exchange.path, exchange.query)
     return claims.request_hash(
-        *(word.encode("utf-8", "surrogateescape") for word in words), exchange.body
+        *(part.encode("utf-8", "surrogateescape") for part in parts), exchange.body
     )
 
 
--- a/agaterail/filters/forward.py
+++ b/agaterail/filters/forward.py
@@ -39,10 +39,10 @@
         assert exchange.pool is not None and exchange.decision is not None
         self._count_in_flight(exchange)
         if exchange.pool.kind is PoolKind.ENGINE:
-            return self._ask_engine(exchange)
-        return self._ask_service(exchange)
+            return self._send_to_engine(exchange)
+        return self._send_to_service(exchange)
 
-    def _ask_engine(self, exchange: Exchange) -> Result[Reply, errors.Failure]:
+    def _send_to_engine(self, exchange: Exchange) -> Result[Reply, errors.Failure]:
         assert exchange.decision is not None and exchange.prefix is not None
         assert exchange.route is not None and exchange.chat is not None
         assert exchange.scope is not None and exchange.pool is not None
@@ -59,7 +59,7 @@
                 priority=exchange.route.priority
                 if exchange.priority is None
                 else exchange.priority,
-                deadline_ms=self._left_ms(exchange),
+                deadline_ms=self._remaining_ms(exchange),
                 weights_version=exchange.scope.weights_version,
                 stream=exchange.chat.stream,
             )
@@ -90,15 +90,15 @@
 
     def _has_other_weights(self, exchange: Exchange, reply: EngineReply) -> bool:
         assert exchange.decision is not None and exchange.scope is not None
-        wanted = exchange.scope.weights_version
-        told = reply.weights_version if reply.refused else reply.status == OK
-        if not (wanted and told):
+        expected = exchange.scope.weights_version
+        reported = reply.weights_version if reply.refused else reply.status == OK
+        if not (expected and reported):
             return False
         state = self.app.targets.states[exchange.decision.address]
         state.weights_version = reply.weights_version
-        return reply.weights_version != wanted
+        return reply.weights_version != expected
 
-    def _ask_service(self, exchange: Exchange) -> Result[Reply, errors.Failure]:
+    def _send_to_service(self, exchange: Exchange) -> Result[Reply, errors.Failure]:
         assert exchange.decision is not None and exchange.route is not None
         path = exchange.path + (f"?{exchange.query}" if exchange.query else "")
         headers = {
@@ -113,7 +113,7 @@
                 path=path,
                 headers=headers,
                 body=exchange.body,
-                deadline_ms=self._left_ms(exchange),
+                deadline_ms=self._remaining_ms(exchange),
                 at_most_once=exchange.at_most_once,
             )
         )
@@ -145,7 +145,7 @@
             return errors.Failure(ErrorKind.TARGET_TIMEOUT)
         return errors.Failure(ErrorKind.TARGET_LOST)
 
-    def _left_ms(self, exchange: Exchange) -> int:
+    def _remaining_ms(self, exchange: Exchange) -> int:
         return max(1, int((exchange.deadline_at - self.app.timers.now()) * 1e3))
 
     def _count_in_flight(self, exchange: Exchange) -> None:
--- a/agaterail/filters/hedge.py
+++ b/agaterail/filters/hedge.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Result, Success
 
 from agaterail import errors, logs
-from agaterail.errors import ErrorKind, Outcome, Waste
+from agaterail.errors import ErrorKind, Outcome, WasteReason
 from agaterail.filters import Filter
 
 if TYPE_CHECKING:
@@ -21,24 +21,24 @@
 logger = logs.get_logger("hedge")
 
 
-class Branch:
+class HedgedAttempt:
     """One of the two runs, with a copy of the exchange of its own."""
 
-    def __init__(self, exchange: Exchange, number: int, avoid: set[str]) -> None:
+    def __init__(self, exchange: Exchange, offset: int, avoid: set[str]) -> None:
         self.exchange = attrs.evolve(
             exchange,
-            attempt=exchange.attempt + number,
+            attempt=exchange.attempt + offset,
             excluded=exchange.excluded | avoid,
-            finishers=[],
+            finish_callbacks=[],
         )
         self.result: Result[Reply, errors.Failure] | None = None
         self.greenlet: gevent.Greenlet | None = None
 
-    def start(self, proceed: Proceed, ended: Queue) -> None:
+    def start(self, proceed: Proceed, completions: Queue) -> None:
         """Run in a greenlet of its own and report the end."""
-        self.greenlet = gevent.spawn(self._run, proceed, ended)
+        self.greenlet = gevent.spawn(self._run, proceed, completions)
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """Stop the run and its engine; an answer that came is thrown away."""
         if self.greenlet is not None:
             self.greenlet.kill()
@@ -48,13 +48,13 @@
                 close()
         self.exchange.finish(Outcome.UNKNOWN)
 
-    def _run(self, proceed: Proceed, ended: Queue) -> None:
+    def _run(self, proceed: Proceed, completions: Queue) -> None:
         try:
             self.result = proceed(self.exchange)
         except Exception:
             logger.exception("Run raised.", request=self.exchange.request_id)
             self.result = Failure(errors.Failure(ErrorKind.INTERNAL))
-        ended.put(self)
+        completions.put(self)
 
 
 class HedgeFilter(Filter):
@@ -76,40 +76,44 @@
         assert route is not None
         if not route.hedge_after_ms or exchange.at_most_once or exchange.chat is None:
             return proceed(exchange)
-        ended: Queue = Queue()
-        branches = [Branch(exchange, 0, set())]
+        completions: Queue = Queue()
+        attempts = [HedgedAttempt(exchange, 0, set())]
         try:
-            branches[0].start(proceed, ended)
-            winner = self._first_end(exchange, branches, proceed, ended)
+            attempts[0].start(proceed, completions)
+            winner = self._wait_for_winner(exchange, attempts, proceed, completions)
         except BaseException:
-            for branch in branches:
-                branch.abandon()
+            for attempt in attempts:
+                attempt.cancel()
             raise
-        for branch in branches:
-            if branch is not winner:
-                self.app.metrics.count(f"wasted.{Waste.HEDGED.value}")
-                branch.abandon()
-        _adopt(exchange, winner, len(branches))
+        for attempt in attempts:
+            if attempt is not winner:
+                self.app.metrics.count(f"wasted.{WasteReason.HEDGED.value}")
+                attempt.cancel()
+        _apply_winner(exchange, winner, len(attempts))
         assert winner.result is not None
         return winner.result
 
-    def _first_end(
-        self, exchange: Exchange, branches: list[Branch], proceed: Proceed, ended: Queue
-    ) -> Branch:
+    def _wait_for_winner(
+        self,
+        exchange: Exchange,
+        attempts: list[HedgedAttempt],
+        proceed: Proceed,
+        completions: Queue,
+    ) -> HedgedAttempt:
         assert exchange.route is not None
         try:
-            return ended.get(timeout=exchange.route.hedge_after_ms / 1e3)
+            return completions.get(timeout=exchange.route.hedge_after_ms / 1e3)
         except Empty:
             pass
-        decision = branches[0].exchange.decision
+        decision = attempts[0].exchange.decision
         if decision is not None and self.app.retry_budget.take():
             logger.info("Hedges.", request=exchange.request_id, slow=decision.address)
-            branches.append(Branch(exchange, 1, {decision.address}))
-            branches[1].start(proceed, ended)
-        first = ended.get()
-        if isinstance(first.result, Success) or len(branches) == 1:
+            attempts.append(HedgedAttempt(exchange, 1, {decision.address}))
+            attempts[1].start(proceed, completions)
+        first = completions.get()
+        if isinstance(first.result, Success) or len(attempts) == 1:
             return first
-        second = ended.get()
+        second = completions.get()
         if isinstance(second.result, Success):
             return second
         # A failure that may have run must not be hidden by one that did not.
@@ -121,16 +125,16 @@
     return result.failure().outcome is not Outcome.NOT_RUN
 
 
-def _adopt(exchange: Exchange, winner: Branch, runs: int) -> None:
-    own = winner.exchange
-    exchange.decision = own.decision
-    exchange.excluded |= own.excluded
+def _apply_winner(exchange: Exchange, winner: HedgedAttempt, attempt_count: int) -> None:
+    winning = winner.exchange
+    exchange.decision = winning.decision
+    exchange.excluded |= winning.excluded
     # An attempt id is used once: the late cancel of the other run would else
     # stop a run that takes the stream up again.
-    exchange.attempt = own.attempt = max(exchange.attempt + runs, own.attempt)
+    exchange.attempt = winning.attempt = max(exchange.attempt + attempt_count, winning.attempt)
     # The answer's body ends the copy, the server ends the original.
-    own.on_finish(exchange.finish)
-    exchange.on_finish(own.finish)
+    winning.on_finish(exchange.finish)
+    exchange.on_finish(winning.finish)
 
 
 def setup(app: Application) -> None:
--- a/agaterail/filters/limits.py
+++ b/agaterail/filters/limits.py
@@ -26,7 +26,7 @@
 BASE_COST_MS = 1.0
 
 
-class RouteUse:
+class RouteUsage:
     """What one route uses on this daemon."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
     def __init__(self, app: Application) -> None:
         self.app = app
         self.members: tuple[str, ...] = ()
-        self.routes: dict[str, RouteUse] = {}
+        self.routes: dict[str, RouteUsage] = {}
         app.events.subscribe(MembersChanged, self._on_members)
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
@@ -51,44 +51,44 @@
         assert route is not None
         if self.app.in_flight > self.app.settings.max_in_flight:
             return Failure(_refusal(ErrorKind.OVERLOADED, exchange))
-        use = self.routes.get(route.name)
-        if use is None:
-            use = self.routes[route.name] = RouteUse()
-        if use.in_flight >= self._share(route):
+        usage = self.routes.get(route.name)
+        if usage is None:
+            usage = self.routes[route.name] = RouteUsage()
+        if usage.in_flight >= self._concurrency_limit(route):
             return Failure(_refusal(ErrorKind.RATE_LIMITED, exchange))
-        wait_s, tokens = self._take_tokens(exchange, route, use)
+        wait_s, tokens = self._take_tokens(exchange, route, usage)
         if wait_s > 0.0:
             return Failure(_refusal(ErrorKind.RATE_LIMITED, exchange, wait_s))
-        use.in_flight += 1
+        usage.in_flight += 1
 
         def release(outcome: Outcome) -> None:
-            use.in_flight -= 1
-            if outcome is Outcome.NOT_RUN and use.bucket is not None:
-                use.bucket.refund(tokens)
+            usage.in_flight -= 1
+            if outcome is Outcome.NOT_RUN and usage.bucket is not None:
+                usage.bucket.refund(tokens)
 
         exchange.on_finish(release)
         return proceed(exchange)
 
-    def _share(self, route: Route) -> float:
+    def _concurrency_limit(self, route: Route) -> float:
         if not route.max_concurrency:
             return float("inf")
         own = self.app.peers.own_address
         return concurrency_share(route.max_concurrency, route.name.encode(), own, self.members)
 
     def _take_tokens(
-        self, exchange: Exchange, route: Route, use: RouteUse
+        self, exchange: Exchange, route: Route, usage: RouteUsage
     ) -> tuple[float, float]:
         if not route.tokens_per_s or exchange.chat is None or exchange.prefix is None:
             return 0.0, 0.0
         now = self.app.timers.now()
         rate = rate_share(route.tokens_per_s, self.app.peers.own_address, self.members)
-        if use.bucket is None:
-            use.bucket = TokenBucket(rate, now)
-        if use.bucket.rate != rate:
-            use.bucket.set_rate(rate, now)
+        if usage.bucket is None:
+            usage.bucket = TokenBucket(rate, now)
+        if usage.bucket.rate != rate:
+            usage.bucket.set_rate(rate, now)
         answer_tokens = exchange.chat.max_tokens or DEFAULT_MAX_TOKENS
         tokens = float(exchange.prefix.prompt_tokens + answer_tokens)
-        return use.bucket.take(tokens, now), tokens
+        return usage.bucket.take(tokens, now), tokens
 
     def _on_members(self, event: MembersChanged) -> None:
         # A daemon that drains is no member any more but still serves.
@@ -102,32 +102,32 @@
 
     def __init__(self, app: Application) -> None:
         self.app = app
-        self.members = 1
+        self.member_count = 1
         self.gates: dict[str, FairGate] = {}
-        self.shares: dict[str, MissRatio] = {}
+        self.miss_ratios: dict[str, MissRatio] = {}
         app.events.subscribe(MembersChanged, self._on_members)
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
         """Refuse what would wait too long; hold the place until the first token."""
-        pool, route, load = exchange.pool, exchange.route, self._load_of(exchange)
+        pool, route, request = exchange.pool, exchange.route, self._admission_request(exchange)
         assert pool is not None and route is not None
-        if load is None:
+        if request is None:
             return proceed(exchange)
         gate, capacity_ms = self.gate_of(pool), self.capacity_ms(pool, route.deadline_ms)
-        weight = admission.priority_weight(load.priority)
-        light = gate.is_light(load.workspace, load.cost_ms, capacity_ms)
-        if not admission.can_meet_deadline(load) or not gate.admit(
-            load.workspace, load.cost_ms, capacity_ms, weight
+        weight = admission.priority_weight(request.priority)
+        light = gate.is_light(request.workspace, request.cost_ms, capacity_ms)
+        if not admission.can_meet_deadline(request) or not gate.admit(
+            request.workspace, request.cost_ms, capacity_ms, weight
         ):
-            hint_s = (load.expected_ms or 0.0) / 1e3
+            hint_s = (request.expected_ms or 0.0) / 1e3
             return Failure(_refusal(ErrorKind.OVERLOADED, exchange, hint_s))
         # The engine takes urgent requests first: those of a workspace that
         # holds much of the queue wait behind those of the others.
-        exchange.priority = load.priority if light else max(0, load.priority - 1)
+        exchange.priority = request.priority if light else max(0, request.priority - 1)
         try:
             return proceed(exchange)
         finally:
-            gate.release(load.workspace, load.cost_ms)
+            gate.release(request.workspace, request.cost_ms)
 
     def gate_of(self, pool: Pool) -> FairGate:
         """Return the gate of a pool, made on first use."""
@@ -138,9 +138,9 @@
 
     def capacity_ms(self, pool: Pool, deadline_ms: float) -> float:
         """Return the queue that this daemon may keep at a pool."""
-        return admission.queue_capacity_ms(len(pool.targets), self.members, deadline_ms)
+        return admission.queue_capacity_ms(len(pool.targets), self.member_count, deadline_ms)
 
-    def _load_of(self, exchange: Exchange) -> AdmissionRequest | None:
+    def _admission_request(self, exchange: Exchange) -> AdmissionRequest | None:
         route, pool, decision = exchange.route, exchange.pool, exchange.decision
         assert route is not None and pool is not None and decision is not None
         if exchange.prefix is None:
@@ -155,18 +155,18 @@
         )
 
     def _missing_tokens(self, pool: Pool, prompt_tokens: int, decision: Decision) -> int:
-        share = self.shares.setdefault(pool.name, MissRatio())
+        miss_ratio = self.miss_ratios.setdefault(pool.name, MissRatio())
         if decision.expected_ms is None:
-            return round(prompt_tokens * share.value)
+            return round(prompt_tokens * miss_ratio.value)
         missing = max(0, prompt_tokens - decision.hit_blocks * pool.block_tokens)
-        share.update(missing, prompt_tokens)
+        miss_ratio.update(missing, prompt_tokens)
         return missing
 
     def _on_members(self, event: MembersChanged) -> None:
-        self.members = max(1, len(event.members))
+        self.member_count = max(1, len(event.members))
 
 
-class FullFilter(Filter):
+class EarlyRejectionFilter(Filter):
     """Refuses a flood before any work is spent on its placement."""
 
     order = 395
@@ -180,13 +180,13 @@
         assert route is not None and pool is not None
         if pool.kind is not PoolKind.ENGINE:
             return proceed(exchange)
-        full = self.admission_filter.gate_of(pool).is_full(
+        rejected = self.admission_filter.gate_of(pool).is_full(
             route.workspace,
             BASE_COST_MS,
             self.admission_filter.capacity_ms(pool, route.deadline_ms),
             admission.priority_weight(route.priority),
         )
-        if full:
+        if rejected:
             return Failure(_refusal(ErrorKind.OVERLOADED, exchange))
         return proceed(exchange)
 
@@ -201,4 +201,4 @@
     app.add_filter(LimitsFilter(app))
     admission_filter = AdmissionFilter(app)
     app.add_filter(admission_filter)
-    app.add_filter(FullFilter(admission_filter))
+    app.add_filter(EarlyRejectionFilter(admission_filter))
--- a/agaterail/filters/match.py
+++ b/agaterail/filters/match.py
@@ -60,11 +60,11 @@
         """Return the routes that a caller may use, in order of their names."""
         if tables.routes is not self.routes:
             self.routes = tables.routes
-            self.by_caller = _group(tables)
+            self.by_caller = _group_by_caller(tables)
         return self.by_caller.get(caller, [])
 
 
-def _group(tables: Tables) -> dict[str, list[Route]]:
+def _group_by_caller(tables: Tables) -> dict[str, list[Route]]:
     grouped: dict[str, list[Route]] = {}
     for name in sorted(tables.routes):
         route = tables.routes[name].row
@@ -77,14 +77,14 @@
     if exchange.chat is not None:
         model = exchange.chat.model
         return next((route for route in routes if model in route.models), None)
-    fitting = [
+    matching = [
         route
         for route in routes
         if route.path_prefix
         and exchange.path.startswith(route.path_prefix)
         and (not route.methods or exchange.method in route.methods)
     ]
-    return max(fitting, key=lambda route: len(route.path_prefix), default=None)
+    return max(matching, key=lambda route: len(route.path_prefix), default=None)
 
 
 def _deadline_ms(exchange: Exchange, route: Route) -> float:
--- a/agaterail/filters/prefix.py
+++ b/agaterail/filters/prefix.py
@@ -29,11 +29,11 @@
             and exchange.route is not None
             and exchange.pool is not None
         ):
-            name(exchange, exchange.pool.weights_version)
+            assign_prefix(exchange, exchange.pool.weights_version)
         return proceed(exchange)
 
 
-def name(exchange: Exchange, weights_version: str) -> None:
+def assign_prefix(exchange: Exchange, weights_version: str) -> None:
     """Name the prompt in the scope of some weights.
 
     While a rollout runs, engines of one pool serve two versions. Blocks that
@@ -45,10 +45,10 @@
     exchange.scope = Scope(
         exchange.route.workspace, exchange.pool.model, exchange.chat.adapter, weights_version
     )
-    exchange.prefix = prefix_in(exchange, exchange.scope)
+    exchange.prefix = prefix_for_scope(exchange, exchange.scope)
 
 
-def prefix_in(exchange: Exchange, scope: Scope) -> Prefix:
+def prefix_for_scope(exchange: Exchange, scope: Scope) -> Prefix:
     """Return the prompt's prefix as it is named in a scope."""
     assert exchange.pool is not None and exchange.chat is not None
     pool = exchange.pool
--- a/agaterail/filters/relay.py
+++ b/agaterail/filters/relay.py
@@ -10,10 +10,10 @@
 
 from agaterail import errors, logs
 from agaterail.engines import EngineRequest
-from agaterail.errors import ErrorKind, Outcome, Waste
+from agaterail.errors import ErrorKind, Outcome, WasteReason
 from agaterail.filters import Filter
 from agaterail.filters.choose import ChooseFilter
-from agaterail.sse import FrameCheck
+from agaterail.sse import FrameValidator
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -26,8 +26,8 @@
 logger = logs.get_logger("relay")
 
 OK = 200
-CUT_SHORT = errors.Failure(ErrorKind.TARGET_LOST, "The stream was cut short.")
-TOKEN_GAP_TIMEOUT_S = 10.0
+STREAM_TRUNCATED = errors.Failure(ErrorKind.TARGET_LOST, "The stream was cut short.")
+INTER_TOKEN_TIMEOUT_S = 10.0
 RESUME_TIMEOUT_S = 1.0
 MAX_RESUMES = 3
 CHOOSE_ORDER = ChooseFilter.order
@@ -47,13 +47,13 @@
             result = self._handle(exchange, proceed)
         except gevent.GreenletExit:
             # The caller left, or another attempt of the request was faster.
-            self._give_up(exchange, Waste.LEFT)
+            self._cancel_wasted_run(exchange, WasteReason.LEFT)
             raise
         if (
             not isinstance(result, Success)
             and result.failure().kind is ErrorKind.TARGET_TIMEOUT
         ):
-            self._give_up(exchange, Waste.TIMED_OUT)
+            self._cancel_wasted_run(exchange, WasteReason.TIMED_OUT)
         return result
 
     def _handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
@@ -66,27 +66,29 @@
         assert exchange.chat is not None
         if exchange.chat.stream and reply.status == OK:
             return self._relay_stream(exchange, reply, reply.source)
-        return self._relay_whole(reply, reply.source)
+        return self._relay_buffered(reply, reply.source)
 
     def _relay_stream(
         self, exchange: Exchange, reply: Reply, source: EngineReply
     ) -> Result[Reply, errors.Failure]:
         relay = StreamRelay(self.app, exchange, source)
         try:
-            first = relay.next_part()
+            frames = relay.read_frames()
         except OSError as error:
             source.discard()
             return Failure(_read_failure(error))
-        if not first:
+        if not frames:
             source.discard()
             return Failure(errors.Failure(ErrorKind.TARGET_LOST))
-        source.set_read_timeout(TOKEN_GAP_TIMEOUT_S)
-        relay.first = first
+        source.set_read_timeout(INTER_TOKEN_TIMEOUT_S)
+        relay.first_frames = frames
         reply.headers["content-type"] = "text/event-stream"
         reply.body = relay
         return Success(reply)
 
-    def _relay_whole(self, reply: Reply, source: EngineReply) -> Result[Reply, errors.Failure]:
+    def _relay_buffered(
+        self, reply: Reply, source: EngineReply
+    ) -> Result[Reply, errors.Failure]:
         parts: list[bytes] = []
         try:
             while part := source.read_available():
@@ -98,10 +100,10 @@
         reply.body = b"".join(parts)
         return Success(reply)
 
-    def _give_up(self, exchange: Exchange, reason: Waste) -> None:
+    def _cancel_wasted_run(self, exchange: Exchange, reason: WasteReason) -> None:
         if exchange.chat is not None and exchange.decision is not None:
             self.app.metrics.count(f"wasted.{reason.value}")
-            cancel_later(self.app, exchange.decision.address, exchange.attempt_id)
+            cancel_in_background(self.app, exchange.decision.address, exchange.attempt_id)
 
 
 class StreamRelay:
@@ -124,8 +126,8 @@
         self.attempt_id = exchange.attempt_id
         self.weights_version = source.weights_version
         run_id = self.attempt_id.encode()
-        self.check = FrameCheck(own_id=run_id, shown_id=run_id)
-        self.first = b""
+        self.validator = FrameValidator(run_id=run_id, first_run_id=run_id)
+        self.first_frames = b""
         self.ended = False
         self.resumes = 0
 
@@ -133,34 +135,34 @@
         return self
 
     def __next__(self) -> bytes:
-        if self.first:
-            part, self.first = self.first, b""
+        if self.first_frames:
+            part, self.first_frames = self.first_frames, b""
             return part
         if self.ended:
             raise StopIteration
         while True:
             failure = None
             try:
-                part = self.next_part()
+                part = self.read_frames()
             except OSError as error:
                 part, failure = b"", _read_failure(error)
             if part:
                 return part
-            if self.check.finished and not self.check.broken:
+            if self.validator.finished and not self.validator.broken:
                 self.ended = True
                 self.exchange.finish(Outcome.COMPLETED)
                 raise StopIteration
-            failure = failure or CUT_SHORT
+            failure = failure or STREAM_TRUNCATED
             if not self._resume(failure):
                 return self._fail(failure)
 
-    def next_part(self) -> bytes:
+    def read_frames(self) -> bytes:
         """Read until at least one whole frame; nothing at the end or a gap."""
-        while not self.check.broken:
+        while not self.validator.broken:
             data = self.source.read_available()
             if not data:
                 return b""
-            part = self.check.accept(data)
+            part = self.validator.accept(data)
             if part:
                 return part
         return b""
@@ -170,32 +172,32 @@
         if not self.ended:
             self.ended = True
             self.source.discard()
-            self.app.metrics.count(f"wasted.{Waste.LEFT.value}")
-            self.app.metrics.count("wasted_events", self.check.position)
-            cancel_later(self.app, self.address, self.attempt_id)
+            self.app.metrics.count(f"wasted.{WasteReason.LEFT.value}")
+            self.app.metrics.count("wasted_events", self.validator.position)
+            cancel_in_background(self.app, self.address, self.attempt_id)
         self.exchange.finish(Outcome.UNKNOWN)
 
     def _resume(self, failure: errors.Failure) -> bool:
         self.source.discard()
-        while self.resumes < MAX_RESUMES and not self.check.differs:
+        while self.resumes < MAX_RESUMES and not self.validator.diverged:
             self.resumes += 1
-            same = self._resume_same()
-            if same or self._run_elsewhere():
+            on_same_engine = self._resume_on_same_engine()
+            if on_same_engine or self._rerun_on_other_engine():
                 logger.info(
                     "Resumed stream.",
                     request=self.exchange.request_id,
                     after=failure.kind.value,
                     target=self.address,
-                    position=self.check.position,
-                    elsewhere=not same,
+                    position=self.validator.position,
+                    elsewhere=not on_same_engine,
                 )
                 return True
         return False
 
-    def _resume_same(self) -> bool:
+    def _resume_on_same_engine(self) -> bool:
         exchange = self.exchange
         assert exchange.route is not None and exchange.scope is not None
-        if self.check.replay_digest is not None:
+        if self.validator.replay_digest is not None:
             return False
         opened = self.app.engine_at(self.address).resume(
             EngineRequest(
@@ -204,27 +206,27 @@
                 cache_salt=exchange.scope.salt,
                 priority=exchange.route.priority,
                 deadline_ms=int(RESUME_TIMEOUT_S * 1e3),
-                position=self.check.position,
+                position=self.validator.position,
             )
         )
         if not isinstance(opened, Success):
             return False
         reply = opened.unwrap()
-        if reply.status != OK or not self._fits(reply, self.attempt_id):
+        if reply.status != OK or not self._matches_run(reply, self.attempt_id):
             reply.discard()
             return False
         self.app.metrics.count("resumes.same")
-        self._read_from(reply, self.check.continued())
+        self._switch_source(reply, self.validator.for_resume())
         return True
 
-    def _run_elsewhere(self) -> bool:
+    def _rerun_on_other_engine(self) -> bool:
         exchange = self.exchange
         assert exchange.route is not None
         if not exchange.route.resume_elsewhere or exchange.at_most_once:
             return False
         if not self.app.retry_budget.take():
             return False
-        cancel_later(self.app, self.address, self.attempt_id)
+        cancel_in_background(self.app, self.address, self.attempt_id)
         exchange.excluded.add(self.address)
         exchange.resuming = True
         exchange.deadline_at = self.app.timers.now() + exchange.route.deadline_ms / 1e3
@@ -235,31 +237,35 @@
         assert exchange.decision is not None
         self.address = exchange.decision.address
         self.attempt_id = exchange.attempt_id
-        if reply is None or reply.status != OK or not self._fits(reply, self.attempt_id):
+        if (
+            reply is None
+            or reply.status != OK
+            or not self._matches_run(reply, self.attempt_id)
+        ):
             if reply is not None:
                 reply.discard()
             return False
         self.app.metrics.count("resumes.elsewhere")
-        self.app.metrics.count(f"wasted.{Waste.REPLAYED.value}")
-        self.app.metrics.count("wasted_events", self.check.position)
-        self._read_from(reply, self.check.replayed(self.attempt_id.encode()))
+        self.app.metrics.count(f"wasted.{WasteReason.REPLAYED.value}")
+        self.app.metrics.count("wasted_events", self.validator.position)
+        self._switch_source(reply, self.validator.for_rerun(self.attempt_id.encode()))
         return True
 
-    def _fits(self, reply: EngineReply, request_id: str) -> bool:
+    def _matches_run(self, reply: EngineReply, request_id: str) -> bool:
         same_weights = reply.weights_version == self.weights_version
         return reply.request_id == request_id and same_weights
 
-    def _read_from(self, reply: EngineReply, check: FrameCheck) -> None:
-        reply.set_read_timeout(TOKEN_GAP_TIMEOUT_S)
+    def _switch_source(self, reply: EngineReply, validator: FrameValidator) -> None:
+        reply.set_read_timeout(INTER_TOKEN_TIMEOUT_S)
         self.source = reply
-        self.check = check
+        self.validator = validator
 
     def _fail(self, failure: errors.Failure) -> bytes:
         # Ending here without a word would look like a whole answer to a
         # client that does not wait for the final frame.
         self.source.discard()
         self.ended = True
-        cancel_later(self.app, self.address, self.attempt_id)
+        cancel_in_background(self.app, self.address, self.attempt_id)
         self.exchange.finish(failure.outcome)
         logger.warning(
             "Stream failed.", request=self.exchange.request_id, kind=failure.kind.value
@@ -268,7 +274,7 @@
         return b"event: error\ndata: " + json.dumps(error).encode() + b"\n\n"
 
 
-def cancel_later(app: Application, address: str, attempt_id: str) -> None:
+def cancel_in_background(app: Application, address: str, attempt_id: str) -> None:
     """Stop a run at its engine, without waiting for the engine."""
     app.timers.after(0.0, lambda: _cancel(app, address, attempt_id))
 
--- a/agaterail/filters/retry.py
+++ b/agaterail/filters/retry.py
@@ -72,23 +72,23 @@
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
         """Try targets until one answers or trying again is not allowed."""
         self.budget.on_request()
-        started: errors.Failure | None = None
-        last: errors.Failure | None = None
+        possibly_run: errors.Failure | None = None
+        previous: errors.Failure | None = None
         while True:
             result = proceed(exchange)
             if isinstance(result, Success):
                 return result
             failure = result.failure()
-            if failure.kind is ErrorKind.NO_TARGET and last is not None:
+            if failure.kind is ErrorKind.NO_TARGET and previous is not None:
                 # Why the only targets failed says more than that none is left.
-                failure = last
-            last = failure
+                failure = previous
+            previous = failure
             if failure.outcome is not Outcome.NOT_RUN:
-                started = failure
+                possibly_run = failure
             if result.failure() is not failure or not self._may_retry(exchange, failure):
                 # An earlier target may have run the request although the last
                 # one did not: "not run" would then be false.
-                return Failure(started or failure)
+                return Failure(possibly_run or failure)
             self._exclude(exchange, failure)
             logger.info("Retries.", request=exchange.request_id, after=failure.kind.value)
 
@@ -98,8 +98,8 @@
         address = exchange.decision.address
         # The answer told which weights the target has. Asked again in their scope
         # it serves; left out, a pool in a rollout could run dry.
-        known = self.targets.states[address].weights_version
-        if failure.kind is ErrorKind.WRONG_WEIGHTS and exchange.pool.serves(known):
+        weights_version = self.targets.states[address].weights_version
+        if failure.kind is ErrorKind.WRONG_WEIGHTS and exchange.pool.serves(weights_version):
             return
         exchange.excluded.add(address)
 
--- a/agaterail/filters/transfer.py
+++ b/agaterail/filters/transfer.py
@@ -21,7 +21,7 @@
 
 # An import that takes longer than twice its estimate is not waited for: the
 # engine computes the blocks as if there had been none.
-WAIT_FACTOR = 2.0
+IMPORT_WAIT_FACTOR = 2.0
 
 
 class TransferFilter(Filter):
@@ -40,7 +40,7 @@
         if pool.import_ms_per_block <= 0:
             return proceed(exchange)
         if decision.transfer is not None:
-            self._import(exchange, decision.address, decision.transfer)
+            self._start_import(exchange, decision.address, decision.transfer)
         result = proceed(exchange)
         if isinstance(result, Success):
             keys = prefix.keys[: transfers.shared_blocks(prefix)]
@@ -51,20 +51,20 @@
             )
         return result
 
-    def _import(self, exchange: Exchange, engine: str, transfer: Transfer) -> None:
+    def _start_import(self, exchange: Exchange, engine: str, transfer: Transfer) -> None:
         if not self.app.imports.begin(engine, transfer.source, self.app.timers.now()):
             return
         assert exchange.prefix is not None and exchange.decision is not None
         keys = exchange.prefix.keys[transfer.start : transfer.end]
-        copying = gevent.spawn(self._copy, engine, keys, transfer)
+        importing = gevent.spawn(self._import_blocks, engine, keys, transfer)
         # While the request waits in the engine's queue the import goes on.
         queue_ms = max(0.0, exchange.decision.queue_ms)
-        wait_ms = transfer.transfer_ms * WAIT_FACTOR - queue_ms
-        copying.join(timeout=max(0.0, wait_ms) / 1e3)
+        wait_ms = transfer.transfer_ms * IMPORT_WAIT_FACTOR - queue_ms
+        importing.join(timeout=max(0.0, wait_ms) / 1e3)
 
-    def _copy(self, engine: str, keys: tuple[bytes, ...], transfer: Transfer) -> None:
-        copied = self.app.engine_at(engine).import_blocks(keys, transfer.source)
-        blocks = copied.value_or(0)
+    def _import_blocks(self, engine: str, keys: tuple[bytes, ...], transfer: Transfer) -> None:
+        imported = self.app.engine_at(engine).import_blocks(keys, transfer.source)
+        blocks = imported.value_or(0)
         self.app.imports.end(engine, transfer.source, blocks > 0, self.app.timers.now())
         self.app.metrics.count("transfers.imported_blocks", blocks)
         logger.info(
--- a/agaterail/metrics.py
+++ b/agaterail/metrics.py
@@ -9,7 +9,7 @@
 import attrs
 import statsd
 
-from agaterail.errors import ErrorKind, Outcome, Waste
+from agaterail.errors import ErrorKind, Outcome, WasteReason
 from agaterail.fold import Verdict
 
 if TYPE_CHECKING:
@@ -57,7 +57,9 @@
     Metric("requests.{}", _COUNTER, "requests", "Requests by what became of them.", Outcome),
     Metric("errors.{}", _COUNTER, "requests", "Requests that got an error.", ErrorKind),
     Metric("attempts", _COUNTER, "attempts", "Targets asked, retries included."),
-    Metric("wasted.{}", _COUNTER, "runs", "Runs at engines of no use to a caller.", Waste),
+    Metric(
+        "wasted.{}", _COUNTER, "runs", "Runs at engines of no use to a caller.", WasteReason
+    ),
     Metric("wasted_events", _COUNTER, "events", "Token events of such runs."),
     Metric("cancels", _COUNTER, "runs", "Runs that engines were told to stop."),
     Metric("cancels_failed", _COUNTER, "runs", "Of these, without an answer."),
--- a/agaterail/server.py
+++ b/agaterail/server.py
@@ -27,7 +27,7 @@
 logger = logs.get_logger("server")
 
 NOT_READY = 503
-ERROR_STATUS_FROM = 400
+MIN_ERROR_STATUS = 400
 SEND_TIMEOUT_S = 30.0
 SEND_BUFFER_BYTES = 128 * 1024
 
@@ -60,7 +60,7 @@
             if isinstance(reply.body, bytes):
                 watch.stop()
             else:
-                _guard_stream(exchange, sock, watch)
+                _limit_stream_writes(exchange, sock, watch)
             _send_reply(response, exchange, reply)
             return
         watch.stop()
@@ -84,7 +84,7 @@
         # A body that trickles in would hold its part in memory for good.
         with gevent.Timeout(self.app.settings.body_timeout_s) as timer:
             try:
-                body = _stream_of(request).read(limit + 1)
+                body = _body_stream(request).read(limit + 1)
             except OSError:
                 return errors.Failure(ErrorKind.BAD_REQUEST, "The body could not be read.")
             except gevent.Timeout as timeout:
@@ -98,7 +98,7 @@
         return body
 
 
-def _stream_of(request: falcon.Request) -> Any:
+def _body_stream(request: falcon.Request) -> Any:
     chunked = request.content_length is None
     return request.stream if chunked else request.bounded_stream
 
@@ -133,19 +133,19 @@
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
         """Answer all models."""
-        names = self._names(request)
+        names = self._model_names(request)
         if not names:
             _send_failure(response, self._refusal(names), "")
             return
-        response.media = {"object": "list", "data": [_model(name) for name in names]}
+        response.media = {"object": "list", "data": [_model_object(name) for name in names]}
 
     def on_get_one(
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
         """Answer one model."""
-        names = self._names(request)
+        names = self._model_names(request)
         if name in names:
-            response.media = _model(name)
+            response.media = _model_object(name)
             return
         _send_failure(response, self._refusal(names), "")
 
@@ -154,17 +154,17 @@
             return errors.Failure(ErrorKind.TABLES_UNAVAILABLE)
         return errors.Failure(ErrorKind.NO_ROUTE if names else ErrorKind.UNAUTHENTICATED)
 
-    def _names(self, request: falcon.Request) -> list[str]:
+    def _model_names(self, request: falcon.Request) -> list[str]:
         caller = caller_of(request.auth or "")
         routes = self.index.routes_of(self.app.tables, caller)
         return sorted({model for route in routes for model in route.models})
 
 
-def _model(name: str) -> dict[str, str | int]:
+def _model_object(name: str) -> dict[str, str | int]:
     return {"id": name, "object": "model", "created": 0, "owned_by": "agaterail"}
 
 
-def make_wsgi(app: Application) -> falcon.App:
+def make_wsgi_app(app: Application) -> falcon.App:
     """Return the WSGI application for callers."""
     wsgi = falcon.App()
     wsgi.add_route("/healthz", HealthResource())
@@ -185,10 +185,10 @@
     OSError
         If the address cannot be bound.
     """
-    return BoundedServer(address, make_wsgi(app), app.settings)
+    return BoundedServer(address, make_wsgi_app(app), app.settings)
 
 
-def _guard_stream(exchange: Exchange, sock: Any, watch: CallerWatch) -> None:
+def _limit_stream_writes(exchange: Exchange, sock: Any, watch: CallerWatch) -> None:
     # A reader that takes nothing for so long is cut; until then its engine's
     # stream waits in the kernel's bounded buffers and no other is touched.
     sock.setsockopt(SOL_SOCKET, SO_SNDBUF, SEND_BUFFER_BYTES)
@@ -212,7 +212,7 @@
         response.set_header("x-agaterail-reason", exchange.decision.reason)
     if isinstance(reply.body, bytes):
         response.data = reply.body
-        failed = reply.status >= ERROR_STATUS_FROM
+        failed = reply.status >= MIN_ERROR_STATUS
         exchange.finish(Outcome.FAILED_AT_TARGET if failed else Outcome.COMPLETED)
         return
     response.stream = reply.body
--- a/agaterail/sse.py
+++ b/agaterail/sse.py
@@ -10,7 +10,7 @@
 ID_PREFIX = b"id: "
 FINAL_DATA = b"data: [DONE]"
 DIGEST_BYTES = 16
-MAX_REST_BYTES = 1024 * 1024
+MAX_FRAME_BYTES = 1024 * 1024
 
 
 def _new_hash() -> blake2b:
@@ -18,7 +18,7 @@
 
 
 @attrs.define
-class FrameCheck:
+class FrameValidator:
     """Cuts a stream into whole frames and checks their positions.
 
     Attributes
@@ -29,9 +29,9 @@
         The engine's final frame was seen.
     broken
         A frame was missing or had no position, or the runs differ.
-    differs
+    diverged
         Another run did not begin with the frames that were sent before.
-    own_id, shown_id
+    run_id, first_run_id
         Id of the engine's run in its frames, and the one that the caller saw
         first; after a run elsewhere the caller still sees one completion.
     replay_until
@@ -43,13 +43,13 @@
     position: int = 0
     finished: bool = False
     broken: bool = False
-    differs: bool = False
-    rest: bytes = b""
-    own_id: bytes = b""
-    shown_id: bytes = b""
+    diverged: bool = False
+    partial: bytes = b""
+    run_id: bytes = b""
+    first_run_id: bytes = b""
     replay_until: int = 0
     replay_digest: bytes | None = None
-    seen: blake2b = attrs.field(factory=_new_hash)
+    sent_hash: blake2b = attrs.field(factory=_new_hash)
 
     def accept(self, data: bytes) -> bytes:
         """Return the new whole frames in the data, repeats dropped.
@@ -57,52 +57,52 @@
         After a missing frame nothing more is returned: a caller must not get
         a stream with a hole in it.
         """
-        whole, separator, self.rest = (self.rest + data).rpartition(SEPARATOR)
+        whole, separator, self.partial = (self.partial + data).rpartition(SEPARATOR)
         # A frame without an end would be kept in memory for as long as it comes.
-        self.broken = self.broken or len(self.rest) > MAX_REST_BYTES
+        self.broken = self.broken or len(self.partial) > MAX_FRAME_BYTES
         if not separator:
             return b""
-        old: list[bytes] = []
+        replayed: list[bytes] = []
         new: list[bytes] = []
         for frame in whole.split(SEPARATOR):
             if self._accept_frame(frame):
-                (old if self.position <= self.replay_until else new).append(frame)
+                (replayed if self.position <= self.replay_until else new).append(frame)
             if self.broken:
                 break
-        if old:
-            self._note(old)
-        if self._differs():
-            self.broken = self.differs = True
+        if replayed:
+            self._hash_frames(replayed)
+        if self._has_diverged():
+            self.broken = self.diverged = True
             return b""
-        return self._note(new) if new else b""
+        return self._hash_frames(new) if new else b""
 
-    def continued(self) -> FrameCheck:
+    def for_resume(self) -> FrameValidator:
         """Return the check of the same run, read on from the next position."""
-        return attrs.evolve(self, rest=b"", broken=False)
+        return attrs.evolve(self, partial=b"", broken=False)
 
-    def replayed(self, own_id: bytes) -> FrameCheck:
+    def for_rerun(self, run_id: bytes) -> FrameValidator:
         """Return the check of another run, whose first frames must be the same."""
-        return FrameCheck(
-            own_id=own_id,
-            shown_id=self.shown_id,
+        return FrameValidator(
+            run_id=run_id,
+            first_run_id=self.first_run_id,
             replay_until=self.position,
-            replay_digest=self.seen.digest(),
+            replay_digest=self.sent_hash.digest(),
         )
 
-    def _note(self, frames: list[bytes]) -> bytes:
+    def _hash_frames(self, frames: list[bytes]) -> bytes:
         joined = SEPARATOR.join(frames) + SEPARATOR
-        if self.own_id != self.shown_id:
-            joined = joined.replace(self.own_id, self.shown_id)
-        self.seen.update(joined)
+        if self.run_id != self.first_run_id:
+            joined = joined.replace(self.run_id, self.first_run_id)
+        self.sent_hash.update(joined)
         return joined
 
-    def _differs(self) -> bool:
+    def _has_diverged(self) -> bool:
         # Another run may sample other tokens. Its rest appended to the first
         # run's beginning would read as one answer that no engine gave.
         if self.replay_digest is None or self.position < self.replay_until:
             return False
-        wanted, self.replay_digest = self.replay_digest, None
-        return self.seen.digest() != wanted
+        expected, self.replay_digest = self.replay_digest, None
+        return self.sent_hash.digest() != expected
 
     def _accept_frame(self, frame: bytes) -> bool:
         start = b"id: %d\n" % self.position
@@ -110,9 +110,9 @@
             self.position += 1
             self.finished = frame[len(start) :] == FINAL_DATA
             return True
-        return self._judge_other(frame)
+        return self._accept_by_position(frame)
 
-    def _judge_other(self, frame: bytes) -> bool:
+    def _accept_by_position(self, frame: bytes) -> bool:
         line, _, data = frame.partition(b"\n")
         number = line[len(ID_PREFIX) :]
         if not line.startswith(ID_PREFIX) or not number.isdigit():
--- a/agaterail/status.py
+++ b/agaterail/status.py
@@ -28,13 +28,13 @@
     report: str
 
 
-def report_of(app: Application) -> dict[str, Any]:
+def build_report(app: Application) -> dict[str, Any]:
     """Return what the parts say, and each engine with its home."""
     homes = {
         entry.address: app.homes.home_of(entry.address)
-        for held in app.tables.pools.values()
-        if held.row.kind is PoolKind.ENGINE
-        for entry in held.row.targets
+        for versioned in app.tables.pools.values()
+        if versioned.row.kind is PoolKind.ENGINE
+        for entry in versioned.row.targets
     }
     return {**app.status(), "engine_homes": homes}
 
@@ -43,6 +43,6 @@
     """Answer status queries."""
 
     def answer(_sender: str, _query: StatusQuery) -> StatusAnswer:
-        return StatusAnswer(json.dumps(report_of(app), default=str))
+        return StatusAnswer(json.dumps(build_report(app), default=str))
 
     app.peers.handle(StatusQuery, answer)
--- a/agaterail/timers.py
+++ b/agaterail/timers.py
@@ -90,9 +90,9 @@
 
 
 @attrs.define(order=True)
-class _Due:
-    at: float
-    number: int
+class _ScheduledCall:
+    due_at: float
+    sequence: int
     callback: Callable[[], None] = attrs.field(order=False)
     subscription: Subscription = attrs.field(order=False)
     period_s: float | None = attrs.field(order=False, default=None)
@@ -103,8 +103,8 @@
 
     def __init__(self, start_s: float = 1000.0) -> None:
         self.time_s = start_s
-        self.queue: list[_Due] = []
-        self.numbers = itertools.count()
+        self.queue: list[_ScheduledCall] = []
+        self.sequence_numbers = itertools.count()
 
     def now(self) -> float:
         """Return the manual time."""
@@ -121,14 +121,19 @@
     def advance(self, seconds: float) -> None:
         """Move the time forward and make the calls that fall due, in order."""
         end = self.time_s + seconds
-        while self.queue and self.queue[0].at <= end:
-            due = heapq.heappop(self.queue)
-            self.time_s = max(self.time_s, due.at)
-            if not due.subscription.active:
+        while self.queue and self.queue[0].due_at <= end:
+            scheduled = heapq.heappop(self.queue)
+            self.time_s = max(self.time_s, scheduled.due_at)
+            if not scheduled.subscription.active:
                 continue
-            due.callback()
-            if due.period_s is not None:
-                self._schedule(due.period_s, due.callback, due.period_s, due.subscription)
+            scheduled.callback()
+            if scheduled.period_s is not None:
+                self._schedule(
+                    scheduled.period_s,
+                    scheduled.callback,
+                    scheduled.period_s,
+                    scheduled.subscription,
+                )
         self.time_s = end
 
     def _push(
@@ -145,5 +150,11 @@
         period_s: float | None,
         subscription: Subscription,
     ) -> None:
-        due = _Due(self.time_s + delay_s, next(self.numbers), callback, subscription, period_s)
-        heapq.heappush(self.queue, due)
+        scheduled = _ScheduledCall(
+            self.time_s + delay_s,
+            next(self.sequence_numbers),
+            callback,
+            subscription,
+            period_s,
+        )
+        heapq.heappush(self.queue, scheduled)
--- a/agaterail/wsgi.py
+++ b/agaterail/wsgi.py
@@ -22,8 +22,8 @@
 
 BACKLOG = 1024
 SOCKET_KEY = "agaterail.socket"
-TIMEOUT_ANSWER = ("408", b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n\r\n")
-TOO_LARGE_ANSWER = (
+TIMEOUT_RESPONSE = ("408", b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n\r\n")
+HEAD_TOO_LARGE_RESPONSE = (
     "431",
     b"HTTP/1.1 431 Request Header Fields Too Large\r\nConnection: close\r\n\r\n",
 )
@@ -52,7 +52,7 @@
         except gevent.Timeout as timeout:
             if timeout is not self.head_timer:
                 raise
-            return TIMEOUT_ANSWER
+            return TIMEOUT_RESPONSE
         finally:
             self._stop_head_timer()
 
@@ -141,9 +141,9 @@
     def _handle_client_error(self, ex: Exception) -> Any:
         if isinstance(ex, HeadTooLargeError):
             logger.info("Refused a request head.", reason="too large")
-            return TOO_LARGE_ANSWER
+            return HEAD_TOO_LARGE_RESPONSE
         if isinstance(ex, OSError):  # the caller left in the middle of a head
-            return TIMEOUT_ANSWER
+            return TIMEOUT_RESPONSE
         return super()._handle_client_error(ex)
 
     def _stop_head_timer(self) -> None:
@@ -175,14 +175,14 @@
 
     def __init__(self, file: Any, limit: int, framing: FramingCheck) -> None:
         self.file = file
-        self.left = limit
+        self.remaining_bytes = limit
         self.framing = framing
 
     def readline(self, limit: int) -> bytes:
         """Return the next line."""
-        line = self.file.readline(max(1, min(limit, self.left + 1)))
-        self.left -= len(line)
-        if self.left < 0:
+        line = self.file.readline(max(1, min(limit, self.remaining_bytes + 1)))
+        self.remaining_bytes -= len(line)
+        if self.remaining_bytes < 0:
             raise HeadTooLargeError("too many bytes")
         self.framing.feed(line)
         return line
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -73,7 +73,7 @@
             log_store=self.log,
             host_list=FixedHostList(self.count),
             peers=Peers(own, transport, MemoryTransport(self.network, own), "s"),
-            parts=PARTS,
+            modules=PARTS,
         )
         startup = app.controllers["startup"]
         assert isinstance(startup, StartupController)
--- a/tests/test_agaterail/test_errors.py
+++ b/tests/test_agaterail/test_errors.py
@@ -9,10 +9,10 @@
 from agaterail.server import _send_failure
 from tests.support import ROOT
 
-PAGE = ROOT / "docs" / "operators" / "errors.md"
+DOC_PAGE = ROOT / "docs" / "operators" / "errors.md"
 
 
-class TableTest(unittest.TestCase):
+class AnswersTest(unittest.TestCase):
     def test_every_kind_has_an_answer(self):
         self.assertEqual(set(ANSWERS), set(ErrorKind))
 
@@ -30,7 +30,7 @@
             ANSWERS[ErrorKind.OVERLOADED].retry_after_s,
         )
 
-    def test_each_kind_is_answered_as_its_row_says(self):
+    def test_each_kind_is_answered_as_the_table_says(self):
         for kind, answer in ANSWERS.items():
             with self.subTest(kind=kind):
                 response = falcon.Response()
@@ -50,17 +50,17 @@
                     response.get_header("x-should-retry"), "true" if hinted else "false"
                 )
 
-    def test_what_may_have_run_gets_a_hint_only_if_a_repeat_is_safe(self):
+    def test_a_request_that_may_have_run_gets_a_retry_hint_only_if_a_retry_is_safe(self):
         # Clients send a hinted request again by themselves.
         safe = {ErrorKind.DUPLICATE_IN_PROGRESS, ErrorKind.WRONG_WEIGHTS}
         for kind, answer in ANSWERS.items():
             if answer.outcome is not Outcome.NOT_RUN and kind not in safe:
                 self.assertIsNone(answer.retry_after_s, kind)
 
-    def test_the_page_lists_the_table(self):
+    def test_the_documentation_lists_the_table(self):
         rows = [
             [cell.strip().strip("`") for cell in line.strip("|").split("|")]
-            for line in PAGE.read_text(encoding="utf-8").splitlines()
+            for line in DOC_PAGE.read_text(encoding="utf-8").splitlines()
             if line.startswith("| `")
         ]
         wanted = [
--- a/tests/test_agaterail/test_filters/test_choose.py
+++ b/tests/test_agaterail/test_filters/test_choose.py
@@ -49,7 +49,7 @@
 
 
 class ChooseFilterTest(ChooseFilterCase):
-    def test_a_prefix_stays_where_it_was_computed_and_is_released_at_the_end(self):
+    def test_requests_with_one_prefix_go_to_one_engine_and_are_released(self):
         for _ in range(6):
             response, _ = self.daemon.chat(HISTORY)
             self.assertEqual(response.status_code, 200)
@@ -60,10 +60,10 @@
     def test_events_of_the_engine_confirm_the_prediction(self):
         self.daemon.chat(HISTORY)
         wait_until(lambda: self.predicted() == 0 and self.blocks() > 0)
-        held = sum(len(engine.cache.keys) for engine in self.engines.values())
-        self.assertEqual(self.blocks(), held)
+        cached = sum(len(engine.cache.keys) for engine in self.engines.values())
+        self.assertEqual(self.blocks(), cached)
 
-    def test_a_refused_request_leaves_no_prediction(self):
+    def test_a_refused_request_leaves_no_predicted_blocks(self):
         # Both engines refuse before running. Were the blocks still expected,
         # the next requests would be drawn to an engine that has none of them.
         for engine in self.engines.values():
@@ -72,7 +72,7 @@
         self.assertEqual(response.status_code, 503)
         self.assertEqual((self.predicted(), self.running()), (0, 0))
 
-    def test_a_predicted_hit_that_misses_is_answered_all_the_same(self):
+    def test_a_request_with_a_mispredicted_hit_is_answered(self):
         # The engine loses its cache and the home has not heard of it yet.
         self.daemon.chat(HISTORY)
         for engine in self.engines.values():
@@ -83,10 +83,10 @@
         self.assertEqual(sum(engine.cached_tokens for engine in self.engines.values()), 0)
 
 
-class PlainPolicyTest(ChooseFilterCase):
+class BaselinePolicyTest(ChooseFilterCase):
     policy = "round_robin"
 
-    def test_the_baselines_of_the_measurements_ask_and_tell_nothing(self):
+    def test_baseline_policies_exchange_no_messages_with_homes(self):
         for _ in range(6):
             self.daemon.chat(HISTORY)
         served = [len(engine.journal) for engine in self.engines.values()]
--- a/tests/test_agaterail/test_filters/test_claim.py
+++ b/tests/test_agaterail/test_filters/test_claim.py
@@ -85,7 +85,7 @@
         self.log.append(stream, codec.encode(batch))
 
 
-class OneKeyTest(ClaimCase):
+class IdempotencyKeyTest(ClaimCase):
     def test_a_repeat_gets_the_recorded_answer(self):
         first, body = self.swap(0)
         self.assertEqual(first.status_code, 200)
@@ -97,7 +97,7 @@
             self.assertEqual(again["x-agaterail-replayed"], "true")
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_a_large_answer_is_told_by_its_digest(self):
+    def test_a_repeat_of_a_large_answer_gets_its_digest(self):
         key = {"idempotency-key": "k1"}
         for _ in range(2):
             response, body = self.daemons[0].post("/booking/swap", b"x" * 4000, key)
@@ -127,7 +127,7 @@
         self.assertEqual(again.status_code, 500)
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_a_connection_cut_after_the_call_leaves_the_key_unknown(self):
+    def test_a_connection_lost_after_the_call_leaves_the_outcome_unknown(self):
         # The service books the swap and the connection breaks before its
         # answer. Nobody knows the outcome, so a repeat must not book again.
         self.service.faults.cut_after = 1
@@ -146,7 +146,7 @@
         response, _ = self.swap(1)
         self.assertEqual(response.status_code, 200)
 
-    def test_without_a_key_the_answer_says_that_this_host_alone_guards_it(self):
+    def test_without_a_key_the_answer_reports_the_host_scope(self):
         response, _ = self.swap(key="")
         self.assertEqual(response["x-agaterail-at-most-once"], "host")
         self.assertEqual(self.batches(), [])
@@ -163,7 +163,7 @@
         self.assertEqual(json.loads(body)["error"]["outcome"], "not_run")
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_an_endless_key_is_refused(self):
+    def test_a_key_that_is_too_long_is_refused(self):
         self.assertEqual(self.refusal(key="k" * 256), ("bad_request", "not_run"))
 
 
@@ -182,7 +182,7 @@
         self.assertEqual(response.status_code, 200)
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_an_owner_that_cannot_be_reached_is_gone_around(self):
+    def test_an_unreachable_owner_is_bypassed(self):
         # Neither daemon reaches the other, so each appends for itself to the
         # same partition. The offset decides, so the key still runs once.
         self.network.cut = {ADDRESSES, ADDRESSES[::-1]}
@@ -191,7 +191,7 @@
         gevent.joinall(jobs)
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_an_owner_whose_answer_is_lost_claims_no_second_time(self):
+    def test_a_lost_answer_of_the_owner_causes_no_second_claim(self):
         for pair in (ADDRESSES, ADDRESSES[::-1]):
             self.network.cut = {pair}
             response, _ = self.swap(0, key=f"k-{pair[0]}")
@@ -200,7 +200,7 @@
 
 
 class CrashTest(ClaimCase):
-    def test_a_claim_whose_claimer_vanished_is_never_run_again(self):
+    def test_a_claim_of_a_crashed_daemon_is_never_run_again(self):
         # The first daemon claimed the key and died, before or in the run: the
         # log does not tell which. The repeat is told "unknown" and not run.
         self.put_claim()
@@ -219,7 +219,7 @@
         response, _ = self.swap(1)
         self.assertEqual(response.status_code, 200)
 
-    def test_a_crash_while_it_runs_leaves_the_key_unknown(self):
+    def test_a_crash_during_the_run_leaves_the_outcome_unknown(self):
         self.service.faults.slow_ms = 300
         job = gevent.spawn(self.swap, 0)
         wait_until(lambda: self.service.journal)
@@ -228,7 +228,7 @@
         job.kill()
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_a_crash_after_the_run_and_before_the_record_leaves_it_unknown(self):
+    def test_a_crash_before_the_outcome_is_recorded_leaves_it_unknown(self):
         # The swap was booked and answered; the daemon dies with the outcome
         # not yet on the log. A repeat must not book it a second time.
         self.service.faults.slow_ms = 100
--- a/tests/test_agaterail/test_filters/test_hedge.py
+++ b/tests/test_agaterail/test_filters/test_hedge.py
@@ -17,17 +17,17 @@
         jobs = [job for engine in self.engines for job in engine.jobs.values()]
         return [job for job in jobs if not job.done and not job.cancelled]
 
-    def test_a_slow_engine_is_overtaken_and_stopped(self):
-        self.first.faults.paused = True
-        self.assert_whole(self.stream())
+    def test_a_hedge_overtakes_a_slow_engine_and_cancels_its_run(self):
+        self.preferred.faults.paused = True
+        self.assert_complete(self.stream())
         self.assertEqual(self.counter("wasted.hedged"), 1)
-        self.first.faults.paused = False
+        self.preferred.faults.paused = False
         wait_until(lambda: not self.running())
         wait_until(lambda: self.daemon.app.in_flight == 0)
         states = self.daemon.app.targets.states.values()
         self.assertEqual([state.in_flight for state in states], [0, 0])
 
-    def test_a_slow_pool_is_asked_no_more_than_the_budget_allows(self):
+    def test_hedges_are_limited_by_the_retry_budget(self):
         # Both engines hang. Each request would run twice; the shared budget
         # keeps the second runs to a fraction of the traffic.
         self.daemon.app.retry_budget.tokens = 2.0
@@ -42,13 +42,13 @@
         self.assertLessEqual(self.counter("wasted.hedged"), 3)
 
     def test_the_answer_is_that_of_the_run_that_won(self):
-        self.first.faults.paused = True
+        self.preferred.faults.paused = True
         response, body = self.daemon.chat(max_tokens=2)
-        self.first.faults.paused = False
+        self.preferred.faults.paused = False
         self.assertEqual(response.status_code, 200)
         self.assertTrue(json.loads(body)["id"].endswith(".2"))
 
-    def test_a_caller_that_leaves_stops_both_runs(self):
+    def test_a_caller_that_disconnects_cancels_both_runs(self):
         for engine in self.engines:
             engine.faults.paused = True
         caller = self.open_call()
@@ -61,11 +61,11 @@
         wait_until(lambda: not self.running())
 
 
-class NotSlowTest(RelayCase):
+class FastEngineTest(RelayCase):
     route = {"hedge_after_ms": 5000}
 
     def test_a_fast_engine_is_not_hedged(self):
-        self.assert_whole(self.stream())
+        self.assert_complete(self.stream())
         self.assertEqual(self.other.journal, [])
 
 
--- a/tests/test_agaterail/test_filters/test_limits.py
+++ b/tests/test_agaterail/test_filters/test_limits.py
@@ -27,7 +27,7 @@
         self.addCleanup(self.daemon.stop)
         wait_until(lambda: self.daemon.app.ready)
 
-    def ask_at_once(self, count, content="hello"):
+    def chat_concurrently(self, count, content="hello"):
         jobs = [
             gevent.spawn(self.daemon.chat, content=f"{number} {content}", max_tokens=4)
             for number in range(count)
@@ -35,7 +35,7 @@
         gevent.joinall(jobs)
         return [job.get() for job in jobs]
 
-    def assert_refusals_are_true(self, answers, codes):
+    def assert_refused_requests_did_not_run(self, answers, codes):
         """Every refusal is 'not run', and the engine's journal says so too."""
         served = [response for response, _ in answers if response.status_code == 200]
         refused = [(item, body) for item, body in answers if item.status_code != 200]
@@ -54,29 +54,31 @@
 
     def test_concurrency_above_the_limit_is_refused(self):
         self.start({"max_concurrency": 2})
-        answers = self.ask_at_once(8)
-        self.assert_refusals_are_true(answers, {"rate_limited"})
+        answers = self.chat_concurrently(8)
+        self.assert_refused_requests_did_not_run(answers, {"rate_limited"})
         self.assertEqual(sum(item.status_code == 200 for item, _ in answers), 2)
         self.assertEqual(self.daemon.chat()[0].status_code, 200)
 
     def test_a_token_rate_above_the_limit_is_refused(self):
         self.start({"tokens_per_s": 10})
-        self.assert_refusals_are_true(self.ask_at_once(8), {"rate_limited"})
+        self.assert_refused_requests_did_not_run(self.chat_concurrently(8), {"rate_limited"})
 
-    def test_the_bound_of_the_daemon_is_kept(self):
+    def test_the_daemon_limit_of_requests_in_flight_is_enforced(self):
         self.start({}, max_in_flight=3)
-        self.assert_refusals_are_true(self.ask_at_once(8), {"overloaded"})
+        self.assert_refused_requests_did_not_run(self.chat_concurrently(8), {"overloaded"})
 
     def test_one_workspace_does_not_fill_the_queue_of_an_engine(self):
         # Forty prompts of 100 ms each arrive at once at one engine, due in 3 s.
         # What would only wait there is refused at once instead of near its
         # deadline.
         self.start({"deadline_ms": 3_000})
-        self.assert_refusals_are_true(self.ask_at_once(40, "x" * 400), {"overloaded"})
+        self.assert_refused_requests_did_not_run(
+            self.chat_concurrently(40, "x" * 400), {"overloaded"}
+        )
 
-    def test_a_burst_that_can_wait_is_served(self):
+    def test_a_burst_that_fits_the_deadline_is_served(self):
         # Found by the demo: a queue of fixed length refused a burst that would
         # have been answered long before its deadline.
         self.start({"deadline_ms": 30_000})
-        answers = self.ask_at_once(12, "x" * 400)
+        answers = self.chat_concurrently(12, "x" * 400)
         self.assertEqual({item.status_code for item, _ in answers}, {200})
--- a/tests/test_agaterail/test_filters/test_relay.py
+++ b/tests/test_agaterail/test_filters/test_relay.py
@@ -41,7 +41,7 @@
         self.daemon.app.retry_budget.tokens = 0.0  # no second run on a busy machine
         self.daemon.chat()
         self.daemon.app.retry_budget.tokens = 10.0
-        self.first = next(engine for engine in self.engines if engine.journal)
+        self.preferred = next(engine for engine in self.engines if engine.journal)
         self.other = next(engine for engine in self.engines if not engine.journal)
 
     def tearDown(self):
@@ -54,9 +54,9 @@
         self.assertEqual(response.status_code, 200)
         return bytes(body)
 
-    def assert_whole(self, body, tokens=TOKENS):
-        numbers = [line for line in body.split(b"\n") if line.startswith(b"id: ")]
-        self.assertEqual(numbers, [b"id: %d" % number for number in range(tokens + 2)])
+    def assert_complete(self, body, tokens=TOKENS):
+        event_ids = [line for line in body.split(b"\n") if line.startswith(b"id: ")]
+        self.assertEqual(event_ids, [b"id: %d" % number for number in range(tokens + 2)])
         self.assertTrue(body.endswith(b"data: [DONE]\n\n"))
         events = [line[6:] for line in body.split(b"\n") if line.startswith(b"data: {")]
         self.assertEqual(len({json.loads(event)["id"] for event in events}), 1)
@@ -90,35 +90,35 @@
 
 
 class ResumeTest(RelayCase):
-    def test_a_cut_stream_is_taken_up_on_the_same_engine(self):
-        self.first.faults.cut_after_frames = 7
-        self.assert_whole(self.stream())
+    def test_a_broken_stream_is_resumed_on_the_same_engine(self):
+        self.preferred.faults.cut_after_frames = 7
+        self.assert_complete(self.stream())
         self.assertEqual(self.counter("resumes.same"), 1)
         self.assertEqual(self.other.journal, [])
 
     def test_a_missing_frame_is_fetched_again(self):
-        self.first.faults.skip_frame = 1
-        self.assert_whole(self.stream())
+        self.preferred.faults.skip_frame = 1
+        self.assert_complete(self.stream())
 
     def test_a_repeated_frame_is_dropped(self):
-        self.first.faults.repeat_frame = 1
-        self.assert_whole(self.stream())
+        self.preferred.faults.repeat_frame = 1
+        self.assert_complete(self.stream())
 
-    def test_a_lost_engine_is_replaced_without_a_seam(self):
+    def test_a_stream_of_a_lost_engine_is_rerun_on_another_engine(self):
         # The engine dies after seven frames and comes back empty, so it knows
         # nothing of the stream. Another engine runs the request anew; what the
         # caller has is compared and dropped, and one completion id is shown.
-        self.first.faults.cut_after_frames = 7
-        self.first.faults.no_resume = True
-        self.assert_whole(self.stream())
+        self.preferred.faults.cut_after_frames = 7
+        self.preferred.faults.no_resume = True
+        self.assert_complete(self.stream())
         self.assertEqual(self.counter("resumes.elsewhere"), 1)
         self.assertEqual(len(self.other.journal), 1)
 
-    def test_another_run_with_other_tokens_is_not_joined_on(self):
+    def test_a_rerun_with_other_tokens_is_not_appended(self):
         # The second engine answers the same prompt with other tokens. Joined
         # to the first frames they would be an answer that no engine gave.
-        self.first.faults.cut_after_frames = 7
-        self.first.faults.no_resume = True
+        self.preferred.faults.cut_after_frames = 7
+        self.preferred.faults.no_resume = True
         original = self.other._decode  # takes the place of a sampling engine
 
         def decode(job):
@@ -129,32 +129,34 @@
         self.assert_failed(self.stream())
 
     def test_an_engine_that_dies_before_the_first_token_is_replaced(self):
-        self.first.faults.cut_before_head = 1
-        self.assert_whole(self.stream())
+        self.preferred.faults.cut_before_head = 1
+        self.assert_complete(self.stream())
 
-    def test_a_stream_that_nobody_can_finish_ends_with_an_error(self):
-        self.first.faults.cut_after_frames = 7
-        self.first.faults.no_resume = True
+    def test_a_stream_that_no_engine_can_finish_ends_with_an_error(self):
+        self.preferred.faults.cut_after_frames = 7
+        self.preferred.faults.no_resume = True
         self.other.faults.refuse = True
         self.assert_failed(self.stream())
         wait_until(lambda: self.daemon.app.in_flight == 0)
 
 
-class OnlyHereTest(RelayCase):
+class ResumeElsewhereDisabledTest(RelayCase):
     route = {"resume_elsewhere": False}
 
     def test_a_route_can_forbid_a_second_run(self):
-        self.first.faults.cut_after_frames = 7
-        self.first.faults.no_resume = True
+        self.preferred.faults.cut_after_frames = 7
+        self.preferred.faults.no_resume = True
         self.assert_failed(self.stream())
         self.assertEqual(self.other.journal, [])
 
 
-class LeavingTest(RelayCase):
+class CallerDisconnectTest(RelayCase):
     config = EngineConfig(block_tokens=10, prefill_ms_per_token=0.001, decode_ms=5.0)
 
     def running(self):
-        return [job for job in self.first.jobs.values() if not job.done and not job.cancelled]
+        return [
+            job for job in self.preferred.jobs.values() if not job.done and not job.cancelled
+        ]
 
     def assert_released(self):
         wait_until(lambda: not self.running())
@@ -162,39 +164,39 @@
         states = self.daemon.app.targets.states.values()
         self.assertEqual([state.in_flight for state in states], [0] * len(states))
 
-    def test_a_caller_that_leaves_a_stream_stops_the_engine(self):
+    def test_a_disconnect_during_a_stream_cancels_the_run(self):
         caller = self.open_call()
         caller.recv(1)
         self.assertTrue(self.running())
         caller.close()
         self.assert_released()
 
-    def test_a_caller_that_leaves_before_the_first_token_stops_the_engine(self):
+    def test_a_disconnect_before_the_first_token_cancels_the_run(self):
         # Nothing is written to the caller yet, so only watching its
         # connection shows that it left; the engine would prefill for nobody.
-        self.first.faults.paused = True
+        self.preferred.faults.paused = True
         caller = self.open_call()
         wait_until(lambda: self.daemon.app.in_flight == 1)
         gevent.sleep(0.02)
         caller.close()
         wait_until(lambda: self.daemon.app.in_flight == 0)
-        self.first.faults.paused = False
+        self.preferred.faults.paused = False
         self.assert_released()
 
-    def test_a_caller_that_leaves_a_whole_answer_stops_the_engine(self):
+    def test_a_disconnect_during_a_buffered_answer_cancels_the_run(self):
         caller = self.open_call(stream=False)
         wait_until(self.running)
         caller.close()
         self.assert_released()
 
-    def test_a_caller_that_closes_its_sending_side_counts_as_left(self):
+    def test_a_half_closed_connection_counts_as_a_disconnect(self):
         caller = self.open_call()
         caller.recv(1)
         caller.shutdown(socket.SHUT_WR)
         self.assert_released()
         caller.close()
 
-    def test_a_caller_that_sends_ahead_is_served_both_times(self):
+    def test_a_pipelined_request_is_served(self):
         caller = self.open_call(tokens=5)
         caller.sendall(b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
         data = b""
@@ -207,7 +209,7 @@
 class SlowReaderTest(RelayCase):
     config = EngineConfig(block_tokens=10, prefill_ms_per_token=0.001, decode_ms=0.2)
 
-    def test_a_slow_reader_holds_up_nobody_and_is_cut(self):
+    def test_a_slow_reader_delays_no_other_caller_and_is_disconnected(self):
         # One caller reads nothing while its engine produces megabytes. The
         # relay must not read them all into memory, others must be served, and
         # after the timeout the caller is cut and its engine stopped.
@@ -218,7 +220,7 @@
             slow = self.open_call()
             slow.recv(1)
             for _ in range(3):
-                self.assert_whole(self.stream())
+                self.assert_complete(self.stream())
             wait_until(lambda: self.daemon.app.in_flight == 0, 30)
         finally:
             server.SEND_TIMEOUT_S = limit
--- a/tests/test_agaterail/test_filters/test_transfer.py
+++ b/tests/test_agaterail/test_filters/test_transfer.py
@@ -80,15 +80,15 @@
         self.assertIsInstance(result, Success)
         return imported_before
 
-    def test_the_missing_blocks_are_there_before_the_request(self):
+    def test_missing_blocks_are_imported_before_the_request(self):
         app = App(Engine(Success(2)))
         self.assertEqual(self.handle(app, exchange()), [(KEYS[1:3], STORE)])
 
-    def test_behind_a_queue_the_request_does_not_wait(self):
+    def test_a_queued_request_does_not_wait_for_the_import(self):
         app = App(Engine(Success(2), takes_s=0.05))
         self.assertEqual(self.handle(app, exchange(queue_ms=1000.0)), [])
 
-    def test_a_failed_import_costs_nothing_but_the_blocks(self):
+    def test_a_failed_import_does_not_fail_the_request(self):
         # The store is down. The request goes to the engine all the same, which
         # computes the prefix, and the next request does not try the store.
         app = App(Engine(Failure("down")))
@@ -96,13 +96,13 @@
         self.handle(app, exchange())
         self.assertEqual(len(app.engine.imported), 1)
 
-    def test_an_import_that_hangs_is_not_waited_for(self):
+    def test_a_hanging_import_times_out(self):
         # The store accepts the call and never answers. The wait ends at twice
         # the estimate, or the caller would get its first token too late.
         app = App(Engine(Success(2), takes_s=30.0))
         self.assertEqual(self.handle(app, exchange(transfer_ms=1.0)), [])
 
-    def test_only_the_shared_blocks_are_noted_for_export(self):
+    def test_only_shared_blocks_are_recorded_for_export(self):
         app = App(Engine(Success(2)))
         item = exchange()
         self.handle(app, item)
--- a/tests/test_agaterail/test_filters/test_weights.py
+++ b/tests/test_agaterail/test_filters/test_weights.py
@@ -45,7 +45,7 @@
         for engine in self.engines:
             engine.stop()
 
-    def test_older_weights_answer_in_a_scope_of_their_own(self):
+    def test_older_weights_use_block_keys_of_their_own_version(self):
         # A rollout to v2 has begun; the engine still has v1 and the row says
         # that it may answer. Its blocks must be named by v1: under v2's keys the
         # engine could find them after it has loaded v2.
@@ -54,20 +54,20 @@
             response, body = self.daemon.chat(PROMPT)
             self.assertEqual(response.status_code, 200)
             self.assertEqual(response["x-weights-version"], "v1")
-        held = set(self.engines[0].cache.keys)
-        self.assertLessEqual(set(keys_of("v1")), held)
-        self.assertTrue(held.isdisjoint(keys_of("v2")))
+        cached = set(self.engines[0].cache.keys)
+        self.assertLessEqual(set(keys_of("v1")), cached)
+        self.assertTrue(cached.isdisjoint(keys_of("v2")))
         details = json.loads(body)["usage"]["prompt_tokens_details"]
         self.assertGreater(details["cached_tokens"], 0)
 
-    def test_weights_that_the_row_does_not_name_never_answer(self):
+    def test_an_engine_with_unlisted_weights_never_answers(self):
         self.start(["v1", "v2"], weights_version="v2")
         for _ in range(6):
             response, _ = self.daemon.chat(PROMPT)
             self.assertEqual(response.status_code, 200)
             self.assertEqual(response["x-weights-version"], "v2")
 
-    def test_an_engine_that_changes_its_weights_is_asked_anew(self):
+    def test_an_engine_that_changes_its_weights_is_retried_with_the_new_keys(self):
         # Engine and router agree on v1; the engine loads v2 unseen. Its first
         # answer tells; the router drops it and asks again in the scope of v2.
         self.start(["v1"], weights_version="v2", also_serve=("v1",))
--- a/tests/test_agaterail/test_metrics.py
+++ b/tests/test_agaterail/test_metrics.py
@@ -15,7 +15,7 @@
 }
 
 
-class ClosedListTest(unittest.TestCase):
+class MetricsListTest(unittest.TestCase):
     def test_each_metric_that_is_sent_is_listed_with_its_kind(self):
         listed = {(metric.name, metric.kind) for metric in METRICS}
         sent = set()
--- a/tests/test_agaterail/test_outcomes.py
+++ b/tests/test_agaterail/test_outcomes.py
@@ -32,7 +32,7 @@
 
 ADDRESSES = [f"127.0.0.1:{number}" for number in range(1, 6)]
 # Behaviour of a target and whether it may have acted.
-BEHAVIOURS = {
+BEHAVIORS = {
     "unreachable": False,
     "refused": False,
     "broken": True,
@@ -44,32 +44,32 @@
 }
 NOT_RUN = {kind for kind, answer in ANSWERS.items() if answer.outcome is Outcome.NOT_RUN}
 # Each place that may answer "not run", and why no target can have acted there.
-BEFORE_A_TARGET = "no target was asked: the place is reached before the forward filter"
-DEFINED = "the target refused in the form that its protocol defines"
-NO_BYTE = "no connection was made, so no byte was sent"
-PLACES = {
-    ("filters/claim.py", "handle"): BEFORE_A_TARGET,
-    ("filters/choose.py", "handle"): BEFORE_A_TARGET,
-    ("filters/choose.py", "_choose"): BEFORE_A_TARGET,
-    ("filters/identify.py", "handle"): BEFORE_A_TARGET,
-    ("filters/limits.py", "handle"): BEFORE_A_TARGET,
-    ("filters/match.py", "handle"): BEFORE_A_TARGET,
-    ("controllers/drain.py", "handle"): BEFORE_A_TARGET,
-    ("server.py", "_read_body"): BEFORE_A_TARGET,
-    ("server.py", "_refusal"): BEFORE_A_TARGET,
-    ("filters/forward.py", "_refusal"): DEFINED,
-    ("filters/forward.py", "_send_failure"): NO_BYTE,
-    ("gateway/handler.py", "_admit"): BEFORE_A_TARGET,
-    ("gateway/handler.py", "_denied"): BEFORE_A_TARGET,
-    ("gateway/handler.py", "_workspace"): BEFORE_A_TARGET,
+BEFORE_FORWARDING = "no target was asked: the place is reached before the forward filter"
+EXPLICIT_REFUSAL = "the target refused in the form that its protocol defines"
+NOTHING_SENT = "no connection was made, so no byte was sent"
+NOT_RUN_SOURCES = {
+    ("filters/claim.py", "handle"): BEFORE_FORWARDING,
+    ("filters/choose.py", "handle"): BEFORE_FORWARDING,
+    ("filters/choose.py", "_choose"): BEFORE_FORWARDING,
+    ("filters/identify.py", "handle"): BEFORE_FORWARDING,
+    ("filters/limits.py", "handle"): BEFORE_FORWARDING,
+    ("filters/match.py", "handle"): BEFORE_FORWARDING,
+    ("controllers/drain.py", "handle"): BEFORE_FORWARDING,
+    ("server.py", "_read_body"): BEFORE_FORWARDING,
+    ("server.py", "_refusal"): BEFORE_FORWARDING,
+    ("filters/forward.py", "_refusal"): EXPLICIT_REFUSAL,
+    ("filters/forward.py", "_send_failure"): NOTHING_SENT,
+    ("gateway/handler.py", "_admit"): BEFORE_FORWARDING,
+    ("gateway/handler.py", "_denied"): BEFORE_FORWARDING,
+    ("gateway/handler.py", "_workspace"): BEFORE_FORWARDING,
     # Only while no target may have run the request (tests of Attempts).
-    ("gateway/attempts.py", "error_kind"): DEFINED,
-    ("gateway/sender.py", "_given_up"): DEFINED,
+    ("gateway/attempts.py", "error_kind"): EXPLICIT_REFUSAL,
+    ("gateway/sender.py", "_given_up"): EXPLICIT_REFUSAL,
     # Only before the first send.
-    ("gateway/sender.py", "_overload"): BEFORE_A_TARGET,
+    ("gateway/sender.py", "_overload"): BEFORE_FORWARDING,
 }
 # Places that name such a kind and answer nothing with it.
-NO_ANSWER = {("filters/retry.py", "handle"), ("filters/retry.py", "<module>")}
+NOT_ANSWERED = {("filters/retry.py", "handle"), ("filters/retry.py", "<module>")}
 
 
 class Reply(EngineReply):
@@ -98,41 +98,39 @@
 
     def __init__(self, journal):
         self.journal = journal
-        self.behaviour = "refused"
+        self.behavior = "refused"
 
     def _next(self, request):
-        behaviour = self.behaviour
-        if BEHAVIOURS[behaviour]:
+        behavior = self.behavior
+        if BEHAVIORS[behavior]:
             self.journal.append(request.request_id)
-        if behaviour == "unreachable":
+        if behavior == "unreachable":
             return Failure(ConnectFailed("refused"))
-        if behaviour in ("broken", "timed_out"):
-            return Failure(ExchangeBroken("lost", behaviour == "timed_out"))
-        return behaviour
+        if behavior in ("broken", "timed_out"):
+            return Failure(ExchangeBroken("lost", behavior == "timed_out"))
+        return behavior
 
     def open(self, request):
-        behaviour = self._next(request)
-        if isinstance(behaviour, Failure):
-            return behaviour
-        request_id = "other" if behaviour == "crossed" else request.request_id
-        status = {"failed": 500, "refused": 503}.get(behaviour, 200)
-        return Success(
-            Reply(request_id, status, behaviour == "refused", cut=behaviour == "cut")
-        )
+        behavior = self._next(request)
+        if isinstance(behavior, Failure):
+            return behavior
+        request_id = "other" if behavior == "crossed" else request.request_id
+        status = {"failed": 500, "refused": 503}.get(behavior, 200)
+        return Success(Reply(request_id, status, behavior == "refused", cut=behavior == "cut"))
 
     def call(self, request):
-        behaviour = self._next(request)
-        if isinstance(behaviour, Failure):
-            return behaviour
-        if behaviour == "cut":
+        behavior = self._next(request)
+        if isinstance(behavior, Failure):
+            return behavior
+        if behavior == "cut":
             return Failure(ExchangeBroken("body cut short"))
         return Success(
             ServiceReply(
-                status={"failed": 500, "refused": 503}.get(behaviour, 200),
+                status={"failed": 500, "refused": 503}.get(behavior, 200),
                 headers={},
                 body=b"",
-                request_id="other" if behaviour == "crossed" else request.request_id,
-                refused=behaviour == "refused",
+                request_id="other" if behavior == "crossed" else request.request_id,
+                refused=behavior == "refused",
             )
         )
 
@@ -167,59 +165,59 @@
         exchange.finish(outcome)
         return result
 
-    def run_script(self, behaviours, path, method="POST", body=b""):
+    def run_script(self, behaviors, path, method="POST", body=b""):
         self.journal.clear()
         self.app.retry_budget.tokens = 10.0
         self.app.timers.advance(60.0)
-        for address, behaviour in zip(ADDRESSES, behaviours, strict=True):
-            self.targets[address].behaviour = behaviour
+        for address, behavior in zip(ADDRESSES, behaviors, strict=True):
+            self.targets[address].behavior = behavior
         return self.ask(path, method, body)
 
     @hypothesis.given(
-        st.tuples(*[st.sampled_from(sorted(BEHAVIOURS)) for _ in ADDRESSES]),
+        st.tuples(*[st.sampled_from(sorted(BEHAVIORS)) for _ in ADDRESSES]),
         st.sampled_from(["chat", "POST", "GET"]),
     )
-    def test_not_run_is_answered_only_if_no_target_acted(self, behaviours, kind):
+    def test_not_run_is_answered_only_if_no_target_acted(self, behaviors, kind):
         # Each target fails in its own way, before or after acting, and the
         # request is tried at several. "Not run" must mean that none acted, and
         # a call that may run once must not reach a second target after one did.
         if kind == "chat":
             fields = {"model": MODEL, "messages": [{"role": "user", "content": "hi"}]}
             body = json.dumps(fields).encode()
-            result = self.run_script(behaviours, "/v1/chat/completions", body=body)
+            result = self.run_script(behaviors, "/v1/chat/completions", body=body)
         else:
-            result = self.run_script(behaviours, "/booking/swap", kind)
+            result = self.run_script(behaviors, "/booking/swap", kind)
         if not isinstance(result, Success) and result.failure().outcome is Outcome.NOT_RUN:
             self.assertEqual(self.journal, [])
         if kind == "POST":
             self.assertLessEqual(len(self.journal), 1)
         self.assertEqual(self.app.in_flight, 0)
 
-    def test_the_targets_are_really_asked(self):
-        done = ["unreachable", "refused", "done", "done", "done"]
-        self.assertIsInstance(self.run_script(done, "/booking/swap"), Success)
+    def test_requests_reach_the_targets(self):
+        succeeding = ["unreachable", "refused", "done", "done", "done"]
+        self.assertIsInstance(self.run_script(succeeding, "/booking/swap"), Success)
         self.assertEqual(len(self.journal), 1)
 
-    def test_every_place_that_answers_not_run_is_known(self):
+    def test_every_function_that_answers_not_run_is_listed(self):
         found = set()
         for path in sorted((ROOT / "agaterail").rglob("*.py")):
             name = path.relative_to(ROOT / "agaterail").as_posix()
             if name in ("errors.py", "metrics.py"):
                 continue
             tree = ast.parse(path.read_text(encoding="utf-8"))
-            found.update((name, place) for place in places_in(tree))
-        self.assertEqual(found - NO_ANSWER, set(PLACES))
+            found.update((name, function) for function in functions_naming_not_run(tree))
+        self.assertEqual(found - NOT_ANSWERED, set(NOT_RUN_SOURCES))
 
-    def test_no_place_before_a_target_comes_after_the_forward_filter(self):
+    def test_filters_that_answer_before_forwarding_precede_the_forward_filter(self):
         orders = {type(item).__module__: item.order for item in self.app.filters}
         forward = orders["agaterail.filters.forward"]
-        for (name, _), reason in PLACES.items():
+        for (name, _), reason in NOT_RUN_SOURCES.items():
             module = "agaterail." + name.removesuffix(".py").replace("/", ".")
-            if reason is BEFORE_A_TARGET and module in orders:
+            if reason is BEFORE_FORWARDING and module in orders:
                 self.assertLess(orders[module], forward)
 
 
-def places_in(tree):
+def functions_naming_not_run(tree):
     """Yield the functions that name a kind whose outcome is 'not run'."""
     for function in [tree, *ast.walk(tree)]:
         if not isinstance(function, (ast.Module, ast.FunctionDef)):
@@ -233,9 +231,9 @@
 
 def own_nodes(function):
     """Yield the nodes of a function that are not in a function inside it."""
-    waiting = list(ast.iter_child_nodes(function))
-    while waiting:
-        node = waiting.pop()
+    pending = list(ast.iter_child_nodes(function))
+    while pending:
+        node = pending.pop()
         if not isinstance(node, ast.FunctionDef):
             yield node
-            waiting.extend(ast.iter_child_nodes(node))
+            pending.extend(ast.iter_child_nodes(node))
--- a/tests/test_agaterail/test_rollout.py
+++ b/tests/test_agaterail/test_rollout.py
@@ -137,12 +137,12 @@
         self.desire(weights_version="v1", version=1)
 
     def make(self, number):
-        parts = ("agaterail.controllers.leases", "agaterail.controllers.rollout")
+        modules = ("agaterail.controllers.leases", "agaterail.controllers.rollout")
         app = Application(
             Settings(peer_listen=Address("127.0.0.1", 100 + number)),
             timers=self.timers,
             log_store=self.log,
-            parts=parts,
+            modules=modules,
         )
         app.engines.update(self.engines)
         return app
--- a/tests/test_agaterail/test_server.py
+++ b/tests/test_agaterail/test_server.py
@@ -24,7 +24,7 @@
 FAST = EngineConfig(block_tokens=10, prefill_ms_per_token=0.001, decode_ms=1.0)
 
 
-class WholePathTest(unittest.TestCase):
+class EndToEndTest(unittest.TestCase):
     def setUp(self):
         self.engines = [EngineStandIn(FAST) for _ in range(2)]
         self.service = ServiceStandIn()
@@ -48,17 +48,17 @@
         for stand_in in [*self.engines, self.service]:
             stand_in.stop()
 
-    def test_a_completion_comes_back_whole(self):
+    def test_a_completion_is_returned_complete(self):
         response, body = self.daemon.chat()
         self.assertEqual(response.status_code, 200)
         fields = json.loads(body)
         self.assertEqual(fields["usage"]["completion_tokens"], 4)
 
-    def test_a_stream_comes_back_whole_and_in_order(self):
+    def test_a_stream_is_returned_complete_and_in_order(self):
         response, body = self.daemon.chat(stream=True, max_tokens=20)
         self.assertEqual(response.status_code, 200)
-        numbers = [line for line in body.split(b"\n") if line.startswith(b"id: ")]
-        self.assertEqual(numbers, [b"id: %d" % number for number in range(22)])
+        event_ids = [line for line in body.split(b"\n") if line.startswith(b"id: ")]
+        self.assertEqual(event_ids, [b"id: %d" % number for number in range(22)])
         self.assertTrue(body.endswith(b"data: [DONE]\n\n"))
 
     def test_a_stream_with_a_missing_frame_ends_with_an_error_event(self):
@@ -85,14 +85,14 @@
         response, _ = self.daemon.chat()
         self.assertEqual(response.status_code, 200)
 
-    def test_a_refusing_engine_is_passed_over(self):
+    def test_a_refusing_engine_is_skipped(self):
         self.engines[0].faults.refuse = True
         for _ in range(4):
             response, _ = self.daemon.chat()
             self.assertEqual(response.status_code, 200)
         self.assertEqual(self.engines[0].journal, [])
 
-    def test_a_service_call_passes_through(self):
+    def test_a_service_call_is_forwarded(self):
         response, body = self.daemon.post("/booking/swap?site=4", b"two bottles")
         self.assertEqual(response.status_code, 200)
         self.assertEqual(json.loads(body)["echo"], "two bottles")
--- a/tests/test_agaterail/test_sse.py
+++ b/tests/test_agaterail/test_sse.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from agaterail.sse import FrameCheck
+from agaterail.sse import FrameValidator
 
 
 def frames(count):
@@ -13,35 +13,35 @@
     return [*made, f"id: {count}\ndata: [DONE]\n\n".encode()]
 
 
-class FrameCheckTest(unittest.TestCase):
+class FrameValidatorTest(unittest.TestCase):
     @given(st.integers(0, 20), st.lists(st.integers(1, 30), max_size=30))
-    def test_any_cut_of_a_stream_comes_out_whole(self, count, cuts):
+    def test_a_stream_split_at_any_points_is_reassembled(self, count, chunk_sizes):
         data = b"".join(frames(count))
-        check = FrameCheck()
+        validator = FrameValidator()
         out = b""
-        for size in [*cuts, len(data)]:
-            out += check.accept(data[:size])
+        for size in [*chunk_sizes, len(data)]:
+            out += validator.accept(data[:size])
             data = data[size:]
         self.assertEqual(out, b"".join(frames(count)))
-        self.assertTrue(check.finished)
+        self.assertTrue(validator.finished)
 
     def test_a_repeated_frame_is_dropped(self):
         sent = frames(3)
-        check = FrameCheck()
-        out = check.accept(b"".join([*sent[:2], sent[1], *sent[2:]]))
+        validator = FrameValidator()
+        out = validator.accept(b"".join([*sent[:2], sent[1], *sent[2:]]))
         self.assertEqual(out, b"".join(sent))
 
     def test_nothing_follows_a_missing_frame(self):
         # The engine loses frame 1. The caller gets frame 0 and then the error
         # event of the relay, never a text with a hole in it.
         sent = frames(3)
-        check = FrameCheck()
-        out = check.accept(b"".join([sent[0], *sent[2:]]))
+        validator = FrameValidator()
+        out = validator.accept(b"".join([sent[0], *sent[2:]]))
         self.assertEqual(out, sent[0])
-        self.assertTrue(check.broken)
-        self.assertFalse(check.finished)
+        self.assertTrue(validator.broken)
+        self.assertFalse(validator.finished)
 
-    def test_a_frame_without_a_position_breaks_the_stream(self):
-        check = FrameCheck()
-        self.assertEqual(check.accept(b"data: x\n\n"), b"")
-        self.assertTrue(check.broken)
+    def test_a_frame_without_a_position_is_an_error(self):
+        validator = FrameValidator()
+        self.assertEqual(validator.accept(b"data: x\n\n"), b"")
+        self.assertTrue(validator.broken)
--- a/tests/test_agaterail/test_wsgi.py
+++ b/tests/test_agaterail/test_wsgi.py
@@ -13,10 +13,10 @@
 from tests.tls import make_tls_files
 
 POST = b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer k\r\n"
-HANG_SECONDS = 5.0
+SOCKET_TIMEOUT_S = 5.0
 
 
-class BoundsTest(unittest.TestCase):
+class RequestLimitsTest(unittest.TestCase):
     def setUp(self):
         self.daemon = LocalDaemon(
             start_controllers=False,
@@ -32,7 +32,7 @@
 
     def connect(self):
         host, _, port = self.daemon.address.partition(":")
-        return socket.create_connection((host, int(port)), HANG_SECONDS)
+        return socket.create_connection((host, int(port)), SOCKET_TIMEOUT_S)
 
     def answer_to(self, *parts):
         # Sends what the server takes and returns the answer up to the close.
@@ -50,7 +50,7 @@
         answer = self.answer_to(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
         self.assertIn(b"200 OK", answer)
 
-    def test_a_request_whose_end_is_unclear_is_refused(self):
+    def test_ambiguous_request_framing_is_refused(self):
         # A caller hides a second request in what one parser takes for a body and
         # another does not. It gets one refusal, and the connection ends.
         smuggled = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -63,41 +63,41 @@
                 self.assertEqual(answer.count(b"HTTP/1.1 "), 1)
         self.assert_serves()
 
-    def test_chunks_are_joined(self):
+    def test_a_chunked_body_is_joined(self):
         head = POST + b"Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
         answer = self.answer_to(head + b"2\r\n{}\r\n0\r\n\r\n")
         self.assertNotIn(b" 400 ", answer.partition(b"\r\n")[0])
 
-    def test_a_flood_of_headers_is_cut_off(self):
+    def test_too_many_headers_are_refused(self):
         # A caller sends headers without an end. The router must not collect
         # them: it answers once the bound is passed and closes.
-        flood = [b"X-%d: y\r\n" % number for number in range(1000)]
-        self.assertIn(b" 431 ", self.answer_to(b"GET / HTTP/1.1\r\n", *flood))
-        small = [b"A:\r\n"] * 101
-        self.assertIn(b" 431 ", self.answer_to(b"GET / HTTP/1.1\r\n", *small, b"\r\n"))
+        headers = [b"X-%d: y\r\n" % number for number in range(1000)]
+        self.assertIn(b" 431 ", self.answer_to(b"GET / HTTP/1.1\r\n", *headers))
+        many_headers = [b"A:\r\n"] * 101
+        self.assertIn(b" 431 ", self.answer_to(b"GET / HTTP/1.1\r\n", *many_headers, b"\r\n"))
         self.assert_serves()
 
-    def test_a_header_line_without_end_is_cut_off(self):
+    def test_an_unterminated_header_line_is_refused(self):
         answer = self.answer_to(b"GET / HTTP/1.1\r\nX: ", b"y" * 100_000)
         self.assertIn(b" 431 ", answer)
         self.assert_serves()
 
-    def test_headers_that_trickle_in_are_given_up(self):
+    def test_slow_headers_time_out(self):
         # A caller sends a byte now and then. Each one arrives in time, the
         # whole head never does; the connection must not be held for good.
         with self.connect() as sock:
             sock.sendall(b"GET / HTTP/1.1\r\nX: ")
-            sender = gevent.spawn(self.trickle, sock)
+            sender = gevent.spawn(self.send_slowly, sock)
             self.assertIn(b" 408 ", sock.recv(4096))
             sender.kill()
 
     def test_an_idle_connection_is_closed(self):
         self.assertEqual(self.answer_to(), b"")
 
-    def test_a_body_that_trickles_in_is_refused_as_not_run(self):
+    def test_a_slow_body_is_refused_as_not_run(self):
         with self.connect() as sock:
             sock.sendall(POST + b"Content-Length: 4000\r\n\r\n")
-            sender = gevent.spawn(self.trickle, sock)
+            sender = gevent.spawn(self.send_slowly, sock)
             answer = sock.recv(4096)
             sender.kill()
         self.assertIn(b" 400 ", answer)
@@ -118,7 +118,7 @@
         self.assertIn(b" 400 ", answer)
         self.assert_serves()
 
-    def trickle(self, sock):
+    def send_slowly(self, sock):
         with contextlib.suppress(OSError):
             while True:
                 sock.sendall(b"y")
@@ -135,7 +135,7 @@
         context = ssl.create_default_context(cafile=files.certificate)
         host, _, port = daemon.address.partition(":")
         with (
-            socket.create_connection((host, int(port)), HANG_SECONDS) as plain,
+            socket.create_connection((host, int(port)), SOCKET_TIMEOUT_S) as plain,
             context.wrap_socket(plain, server_hostname=host) as sock,
         ):
             sock.sendall(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
--- a/tools/slopes/state.py
+++ b/tools/slopes/state.py
@@ -178,7 +178,7 @@
             Settings(peer_listen=Address.parse(member)),
             timers=timers,
             log_store=log,
-            parts=("agaterail.controllers.leases",),
+            modules=("agaterail.controllers.leases",),
         )
         app.events.publish(MembersChanged(members))
         apps.append(app)
