--- a/agaterail/sse.py
+++ b/agaterail/sse.py
@@ -70,11 +70,11 @@
             if self.broken:
                 break
         if replayed:
-            self._hash_frames(replayed)
+            self._join_and_hash(replayed)
         if self._has_diverged():
             self.broken = self.diverged = True
             return b""
-        return self._hash_frames(new) if new else b""
+        return self._join_and_hash(new) if new else b""
 
     def for_resume(self) -> FrameValidator:
         """Return the check of the same run, read on from the next position."""
@@ -89,7 +89,7 @@
             replay_digest=self.sent_hash.digest(),
         )
 
-    def _hash_frames(self, frames: list[bytes]) -> bytes:
+    def _join_and_hash(self, frames: list[bytes]) -> bytes:
         joined = SEPARATOR.join(frames) + SEPARATOR
         if self.run_id != self.first_run_id:
             joined = joined.replace(self.run_id, self.first_run_id)
--- a/tests/test_agaterail/test_filters/test_transfer.py
+++ b/tests/test_agaterail/test_filters/test_transfer.py
@@ -20,13 +20,13 @@
 
 
 class Engine:
-    def __init__(self, answer, takes_s=0.0):
+    def __init__(self, answer, delay_s=0.0):
         self.answer = answer
-        self.takes_s = takes_s
+        self.delay_s = delay_s
         self.imported = []
 
     def import_blocks(self, keys, source):
-        gevent.sleep(self.takes_s)
+        gevent.sleep(self.delay_s)
         self.imported.append((keys, source))
         return self.answer
 
@@ -85,7 +85,7 @@
         self.assertEqual(self.handle(app, exchange()), [(KEYS[1:3], STORE)])
 
     def test_a_queued_request_does_not_wait_for_the_import(self):
-        app = App(Engine(Success(2), takes_s=0.05))
+        app = App(Engine(Success(2), delay_s=0.05))
         self.assertEqual(self.handle(app, exchange(queue_ms=1000.0)), [])
 
     def test_a_failed_import_does_not_fail_the_request(self):
@@ -99,7 +99,7 @@
     def test_a_hanging_import_times_out(self):
         # The store accepts the call and never answers. The wait ends at twice
         # the estimate, or the caller would get its first token too late.
-        app = App(Engine(Success(2), takes_s=30.0))
+        app = App(Engine(Success(2), delay_s=30.0))
         self.assertEqual(self.handle(app, exchange(transfer_ms=1.0)), [])
 
     def test_only_shared_blocks_are_recorded_for_export(self):
--- a/tests/test_agaterail/test_openai_client.py
+++ b/tests/test_agaterail/test_openai_client.py
@@ -24,7 +24,7 @@
 MESSAGES = [{"role": "user", "content": "Where is my order?"}]
 
 
-class StockClientTest(unittest.TestCase):
+class OpenAIClientTest(unittest.TestCase):
     def setUp(self):
         self.engine = EngineStandIn(FAST)
         log = MemoryLogStore()
