--- a/agaterail/callerwatch.py
+++ b/agaterail/callerwatch.py
@@ -1,4 +1,4 @@
-"""Notice that a caller has closed its connection while it waits."""
+"""Detect that a caller closed its connection while it waits for an answer."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 class CallerLeft(gevent.GreenletExit):
     """The caller closed its connection.
 
-    Thrown into the request's greenlet, so that whatever it waits for, it stops
-    at once; a filter that must clean up catches it and raises it again.
+    Raised in the greenlet of the request, which stops at once, whatever it is waiting
+    for. A filter that must clean up catches the exception and re-raises it.
     """
 
 
 class CallerWatch:
-    """Ends the greenlet of a request when its caller leaves.
+    """Kills the greenlet of a request when its caller disconnects.
 
-    A caller that closes only its sending side is taken for one that left: the
-    two look alike until something is written, and the engine would go on
-    computing for nobody meanwhile.
+    A caller that closes only its sending side counts as disconnected. The two cases are
+    indistinguishable until something is written, and until then the engine would
+    compute an answer that nobody reads.
     """
 
     def __init__(self, sock: Any) -> None:
@@ -41,8 +41,8 @@
             watcher.close()
 
     def _on_readable(self) -> None:
-        # Either the end of the connection or the next request of a caller
-        # that sends ahead; the latter stays in the kernel's buffer.
+        # Either the connection was closed or the caller pipelines its next request,
+        # which stays in the kernel's buffer.
         self.stop()
         if _is_closed(self.sock.fileno()):
             self.greenlet.kill(CallerLeft, block=False)
--- a/agaterail/chat.py
+++ b/agaterail/chat.py
@@ -1,4 +1,4 @@
-"""Chat-completion requests in the OpenAI form."""
+"""Chat-completion requests in the OpenAI format."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 
 def parse(body: bytes) -> Result[ChatRequest, str]:
-    """Read a request body; unknown fields are left for the engine.
+    """Parse a request body; unknown fields are left to the engine.
 
     Returns
     -------
     Result
-        The request, or a sentence that names the wrong field.
+        The request, or an error message that names the invalid field.
     """
     try:
         fields = json.loads(body)
@@ -81,7 +81,7 @@
     if content is None:
         content = ""
     if isinstance(content, list):
-        # Text parts and others alike: what is not text still tells prompts apart.
+        # Includes parts other than text, since they also distinguish prompts.
         content = json.dumps(content, sort_keys=True)
     if not isinstance(content, str):
         return None
--- a/agaterail/errors.py
+++ b/agaterail/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer that each one gives."""
+"""The complete list of error kinds, and the answer to the caller for each."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is known of a request's execution when its answer is sent."""
+    """What is known about a request's execution when its answer is sent."""
 
     NOT_RUN = "not_run"
     COMPLETED = "completed"
@@ -21,7 +21,7 @@
 
 
 class WasteReason(enum.Enum):
-    """Why work of an engine was of no use to a caller."""
+    """Why the work of an engine was wasted."""
 
     LEFT = "left"
     TIMED_OUT = "timed_out"
@@ -30,7 +30,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Each reason for which a request can end without a target's full answer."""
+    """Reason why a request ends without a complete answer from a target."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class Answer:
-    """What a caller is sent for one error kind.
+    """Error response for one error kind.
 
     Attributes
     ----------
@@ -67,11 +67,11 @@
     error_type
         ``type`` field of the OpenAI error object.
     message
-        Sentence shown to the caller; a failure's detail is appended.
+        Message for the caller; the detail of a failure is appended.
     outcome
-        What the caller may conclude about the execution.
+        What the caller may assume about the execution.
     retry_after_s
-        Seconds after which a retry is useful; None when a retry is not.
+        Seconds after which a retry is useful; None if a retry is not useful.
     """
 
     status: int
@@ -165,7 +165,7 @@
 
 @attrs.frozen
 class Failure:
-    """One failed request, carried as the error side of a ``returns`` result."""
+    """A failed request, as the failure value of a ``returns`` result."""
 
     kind: ErrorKind
     detail: str = ""
@@ -173,24 +173,24 @@
 
     @property
     def answer(self) -> Answer:
-        """Look up the table entry of this kind."""
+        """Return the answer for this kind."""
         return ANSWERS[self.kind]
 
     @property
     def outcome(self) -> Outcome:
-        """Tell what is known of the execution."""
+        """Return what is known about the execution."""
         return self.answer.outcome
 
     @property
     def retry_hint_s(self) -> float | None:
-        """Seconds after which to retry, the failure's own before the table's."""
+        """Seconds after which to retry; the failure's own value takes precedence."""
         if self.retry_after_s is not None:
             return self.retry_after_s
         return self.answer.retry_after_s
 
     @property
     def message(self) -> str:
-        """Give the sentence for the caller."""
+        """Return the message for the caller, including the detail."""
         if not self.detail:
             return self.answer.message
         return f"{self.answer.message} {self.detail}"
--- a/agaterail/exchange.py
+++ b/agaterail/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way through the filters, and its reply."""
+"""A request that passes through the filters, and its reply."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 @attrs.define(kw_only=True)
 class Exchange:
-    """Everything known of one request.
+    """State of one request.
 
     Attributes
     ----------
     tables
-        Tables in force when the request arrived; used to its end.
+        Tables in force when the request arrived; used until the request ends.
     deadline_at
-        Monotonic second by which the first byte of the answer is due.
+        Monotonic time in seconds by which the first byte of the answer is due.
     excluded
         Targets that this request must not be sent to again.
     attempt
-        Number of targets asked so far.
+        Number of attempts so far.
     priority
-        Priority at the engine; the route's own when None.
+        Priority at the engine; that of the route if None.
     resuming
-        A broken stream is being started anew at another target.
+        Whether a broken stream is being rerun on another target.
     watch
-        Watch on the caller's connection while the caller's leaving counts.
+        Ends the request if the caller disconnects; None if nothing watches for that.
     answer_headers
-        Headers of the answer, whether it is a reply or an error.
+        Headers to add to the answer, whether it is a reply or an error.
     """
 
     request_id: str
@@ -70,20 +70,20 @@
 
     @property
     def at_most_once(self) -> bool:
-        """Tell whether the route declares this method as not idempotent."""
+        """Whether the route declares this method as non-idempotent."""
         return self.route is not None and self.method in self.route.at_most_once_methods
 
     @property
     def attempt_id(self) -> str:
-        """Return the id of the current attempt, which the target repeats."""
+        """Return the id of the current attempt, which the target echoes."""
         return f"{self.request_id}.{self.attempt}"
 
     def on_finish(self, callback: Callable[[Outcome], None]) -> None:
-        """Call back once when the last byte was sent or the request failed."""
+        """Register a callback for the end of the answer or the failure of the request."""
         self.finish_callbacks.append(callback)
 
     def finish(self, outcome: Outcome) -> None:
-        """Record the outcome and release what the filters hold, once."""
+        """Record the outcome and run the callbacks; later calls have no effect."""
         if self.outcome is not None:
             return
         self.outcome = outcome
@@ -98,9 +98,9 @@
     Attributes
     ----------
     body
-        Whole body, or an iterator of its parts with a ``close`` method.
+        Complete body, or an iterator over its parts with a ``close`` method.
     source
-        Engine's answer that the body is still to be read from.
+        Engine's answer from which the body is yet to be read.
     """
 
     status: int
--- a/agaterail/filters/__init__.py
+++ b/agaterail/filters/__init__.py
@@ -18,23 +18,23 @@
 
 
 class Filter(abc.ABC):
-    """One step of the chain.
+    """One step of the filter chain.
 
     Attributes
     ----------
     order
-        Place in the chain; lower is further out.
+        Position in the chain; a lower value is closer to the caller.
     """
 
     order: int
 
     @abc.abstractmethod
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Handle a request, by itself or by proceeding to the next filter."""
+        """Answer a request, or pass it to the next filter with ``proceed``."""
 
 
 class FilterChain:
-    """Filters in their order."""
+    """Filters, sorted by their order."""
 
     def __init__(self, filters: Sequence[Filter]) -> None:
         self.filters = sorted(filters, key=lambda item: item.order)
@@ -44,7 +44,7 @@
         return self._handle_from(0, exchange)
 
     def run_from(self, order: int, exchange: Exchange) -> Result[Reply, errors.Failure]:
-        """Pass a request through the filters from a place on, to start it anew."""
+        """Run a request again through the filters from the given order on."""
         index = next(
             (position for position, item in enumerate(self.filters) if item.order >= order),
             len(self.filters),
--- a/agaterail/filters/choose.py
+++ b/agaterail/filters/choose.py
@@ -30,7 +30,7 @@
 
 
 class ChooseFilter(Filter):
-    """Asks the pool's policy and writes the decision to the log."""
+    """Lets the policy of the pool choose a target and logs the decision."""
 
     order = 500
 
@@ -38,7 +38,7 @@
         self.app = app
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Refuse a request that no target can serve in time."""
+        """Reject a request that no target can serve before its deadline."""
         pool, route = exchange.pool, exchange.route
         assert pool is not None and route is not None
         now = self.app.timers.now()
@@ -114,18 +114,20 @@
                 if _weights_version_of(views, address) == version
             ]
             if older and version != exchange.scope.weights_version:
-                # Blocks of the older weights have keys of their own.
+                # Block keys depend on the weights version, so these engines must be
+                # queried with the keys of the older weights.
                 scope = attrs.evolve(exchange.scope, weights_version=version)
                 older_sample = sample_prefix(prefix_for_scope(exchange, scope))
                 views.update(self.app.candidates.query(older, older_sample))
         for address, view in views.items():
-            # A home's report lags; what the target itself answered goes first.
+            # The view of a home lags, so a version that the target itself reported
+            # takes precedence.
             state = self.app.targets.states[address]
             state.weights_version = state.weights_version or view.weights_version
         return views
 
     def _rescope(self, exchange: Exchange, decision: Decision) -> bool:
-        """Name the prompt anew when the target serves other weights of the pool."""
+        """Recompute the block keys if the target serves other weights of the pool."""
         pool, scope = exchange.pool, exchange.scope
         if pool is None or scope is None:
             return False
@@ -137,7 +139,7 @@
         return True
 
     def _query_kv_store(self, placement: Placement) -> Source | None:
-        """Ask the kept store when no candidate holds the whole shared prefix."""
+        """Query the KV store if no candidate has cached the whole shared prefix."""
         store, prefix = self.app.kv_store, placement.prefix
         if store is None or prefix is None or placement.pool.import_ms_per_block <= 0:
             return None
--- a/agaterail/filters/claim.py
+++ b/agaterail/filters/claim.py
@@ -1,4 +1,4 @@
-"""Run a non-idempotent request at most once over all daemons."""
+"""Run a non-idempotent request at most once across all daemons."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class ClaimFilter(Filter):
-    """Claims the caller's idempotency key before anything may act on it."""
+    """Claims the caller's idempotency key before the request is sent to a target."""
 
     order = 430
 
@@ -46,12 +46,12 @@
         self.controller = controller
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Run the request if its claim is the first, else tell what is known."""
+        """Run the request if its claim wins, or answer with what is known of its key."""
         if not exchange.at_most_once:
             return proceed(exchange)
         if exchange.watch is not None:
-            # The call goes on when its caller has left: stopping it half-way
-            # would leave the key without an outcome for the repeat.
+            # The call continues after its caller disconnects: aborting it would leave
+            # the key without an outcome with which to answer a retry.
             exchange.watch.stop()
         key = exchange.headers.get(KEY_HEADER, "").strip()
         if not key:
@@ -71,7 +71,7 @@
         remaining_s = exchange.deadline_at - self.app.timers.now()
         verdict = self.controller.claim(claim, max(0.0, min(CLAIM_WAIT_S, remaining_s)))
         logger.info(
-            "Judged a claim.",
+            "Claim decided.",
             request=exchange.request_id,
             verdict="none" if verdict is None else verdict.kind.value,
         )
@@ -82,8 +82,8 @@
             exchange.answer_headers[SCOPE_HEADER] = "key"
             return self._run(exchange, claim, proceed)
         if verdict.request != claim.request:
-            # The record answers another request; its answer, or the news that
-            # it runs, would be taken for this one's.
+            # The key belongs to a different request. The recorded answer or progress of
+            # that request would be mistaken for that of this one.
             detail = "The idempotency key was used for another request."
             return Failure(errors.Failure(ErrorKind.BAD_REQUEST, detail))
         return self._answer_duplicate(verdict)
@@ -94,7 +94,7 @@
         try:
             result = proceed(exchange)
         except BaseException:
-            # Nobody knows how far it got: a repeat must not run it again.
+            # It is unknown whether the target acted, so a retry must not run it again.
             self._record(claim, Outcome.UNKNOWN)
             raise
         if not isinstance(result, Success):
--- a/agaterail/filters/forward.py
+++ b/agaterail/filters/forward.py
@@ -27,7 +27,7 @@
 
 
 class ForwardFilter(Filter):
-    """Innermost filter: one attempt at one target."""
+    """Innermost filter, which makes one attempt at one target."""
 
     order = 700
 
@@ -35,7 +35,7 @@
         self.app = app
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Send the request once and judge the head of the answer."""
+        """Send the request once and check the head of the answer."""
         assert exchange.pool is not None and exchange.decision is not None
         self._count_in_flight(exchange)
         if exchange.pool.kind is PoolKind.ENGINE:
@@ -77,8 +77,8 @@
 
     def _engine_failure(self, exchange: Exchange, reply: EngineReply) -> errors.Failure | None:
         if reply.request_id != exchange.attempt_id:
-            # A late answer to an earlier request on this connection would
-            # reach the wrong caller; the connection is dropped with it.
+            # A late answer to an earlier request on this connection would reach the
+            # wrong caller, so it is discarded together with the connection.
             return errors.Failure(ErrorKind.TARGET_LOST, "The answer was for another request.")
         if self._has_other_weights(exchange, reply):
             return errors.Failure(ErrorKind.WRONG_WEIGHTS)
--- a/agaterail/filters/hedge.py
+++ b/agaterail/filters/hedge.py
@@ -1,4 +1,4 @@
-"""Ask a second engine when the first is slow with its first token."""
+"""Send a hedged request to a second engine if the first token is late."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HedgedAttempt:
-    """One of the two runs, with a copy of the exchange of its own."""
+    """One of the two concurrent attempts, with its own copy of the exchange."""
 
     def __init__(self, exchange: Exchange, offset: int, avoid: set[str]) -> None:
         self.exchange = attrs.evolve(
@@ -35,11 +35,11 @@
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self, proceed: Proceed, completions: Queue) -> None:
-        """Run in a greenlet of its own and report the end."""
+        """Start the attempt in a greenlet that puts it into ``completions`` at its end."""
         self.greenlet = gevent.spawn(self._run, proceed, completions)
 
     def cancel(self) -> None:
-        """Stop the run and its engine; an answer that came is thrown away."""
+        """Stop the attempt and the run at its engine, and discard any answer."""
         if self.greenlet is not None:
             self.greenlet.kill()
         if isinstance(self.result, Success):
@@ -52,17 +52,17 @@
         try:
             self.result = proceed(self.exchange)
         except Exception:
-            logger.exception("Run raised.", request=self.exchange.request_id)
+            logger.exception("Hedged attempt raised.", request=self.exchange.request_id)
             self.result = Failure(errors.Failure(ErrorKind.INTERNAL))
         completions.put(self)
 
 
 class HedgeFilter(Filter):
-    """Runs idempotent completions a second time after the route's delay.
+    """Sends idempotent completions to a second engine after the route's delay.
 
-    The first to bring a first part is passed on, the other is stopped at its
-    engine. Second runs spend the retry budget, so that a slow pool does not get
-    twice the load.
+    The first attempt that returns the start of an answer wins; the other is canceled at
+    its engine. Hedges draw on the retry budget, so that a slow pool does not get twice
+    the load.
     """
 
     order = 460
@@ -71,7 +71,7 @@
         self.app = app
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Run once, or twice when the first run is slow."""
+        """Make one attempt, or two concurrent ones if the first is slow."""
         route = exchange.route
         assert route is not None
         if not route.hedge_after_ms or exchange.at_most_once or exchange.chat is None:
@@ -107,7 +107,7 @@
             pass
         decision = attempts[0].exchange.decision
         if decision is not None and self.app.retry_budget.take():
-            logger.info("Hedges.", request=exchange.request_id, slow=decision.address)
+            logger.info("Started a hedge.", request=exchange.request_id, slow=decision.address)
             attempts.append(HedgedAttempt(exchange, 1, {decision.address}))
             attempts[1].start(proceed, completions)
         first = completions.get()
@@ -116,7 +116,7 @@
         second = completions.get()
         if isinstance(second.result, Success):
             return second
-        # A failure that may have run must not be hidden by one that did not.
+        # If one of the attempts may have run, "not run" must not be reported.
         return max((first, second), key=lambda item: _may_have_run(item.result))
 
 
@@ -129,10 +129,11 @@
     winning = winner.exchange
     exchange.decision = winning.decision
     exchange.excluded |= winning.excluded
-    # An attempt id is used once: the late cancel of the other run would else
-    # stop a run that takes the stream up again.
+    # Attempt ids must not be reused: a delayed cancel of the losing attempt would
+    # otherwise stop a run that resumes the stream.
     exchange.attempt = winning.attempt = max(exchange.attempt + attempt_count, winning.attempt)
-    # The answer's body ends the copy, the server ends the original.
+    # The body of the answer finishes the copy and the server finishes the original, so
+    # each of them finishes the other.
     winning.on_finish(exchange.finish)
     exchange.on_finish(winning.finish)
 
--- a/agaterail/filters/identify.py
+++ b/agaterail/filters/identify.py
@@ -19,12 +19,12 @@
 
 
 class IdentifyFilter(Filter):
-    """Replaces the API key by its digest; the key itself goes no further."""
+    """Identifies the caller by a digest; the API key itself is not forwarded."""
 
     order = 100
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Refuse a request without a key."""
+        """Reject a request without an API key."""
         exchange.caller = caller_of(exchange.headers.get("authorization", ""))
         if not exchange.caller:
             return Failure(errors.Failure(errors.ErrorKind.UNAUTHENTICATED))
@@ -32,10 +32,10 @@
 
 
 def caller_of(header: str) -> str:
-    """Return the digest of a bearer key, or nothing without one.
+    """Return the digest of a bearer token, or an empty string without one.
 
-    Keys are looked up by digest only, so that the time of a comparison tells
-    nothing of a key.
+    Keys are looked up by digest only, so that the timing of a comparison reveals
+    nothing about a key.
     """
     if header[: len(SCHEME)].lower() != SCHEME:
         return ""
@@ -43,7 +43,7 @@
 
 
 def digest_of(api_key: str) -> str:
-    """Return the digest that a route names a caller by."""
+    """Return the digest by which a route lists a caller."""
     return sha256(api_key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
--- a/agaterail/filters/limits.py
+++ b/agaterail/filters/limits.py
@@ -1,4 +1,4 @@
-"""Refuse what is above a limit or cannot be answered in time."""
+"""Enforce rate limits, concurrency limits and admission control."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RouteUsage:
-    """What one route uses on this daemon."""
+    """Requests in flight and token bucket of one route on this daemon."""
 
     def __init__(self) -> None:
         self.in_flight = 0
@@ -35,7 +35,7 @@
 
 
 class LimitsFilter(Filter):
-    """Concurrency and token rate of a route, and the daemon's own bound."""
+    """Enforces the limits of a route and the daemon's limit of requests in flight."""
 
     order = 410
 
@@ -46,7 +46,7 @@
         app.events.subscribe(MembersChanged, self._on_members)
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Refuse at once what is above a limit."""
+        """Reject a request that exceeds a limit, without queueing it."""
         route = exchange.route
         assert route is not None
         if self.app.in_flight > self.app.settings.max_in_flight:
@@ -91,12 +91,12 @@
         return usage.bucket.take(tokens, now), tokens
 
     def _on_members(self, event: MembersChanged) -> None:
-        # A daemon that drains is no member any more but still serves.
+        # A draining daemon is no longer a member but still serves requests.
         self.members = tuple(sorted({*event.members, self.app.peers.own_address}))
 
 
 class AdmissionFilter(Filter):
-    """Keeps the engines' queues short and the workspaces' parts of them fair."""
+    """Keeps the queues of engines short and shares them fairly among workspaces."""
 
     order = 510
 
@@ -108,7 +108,7 @@
         app.events.subscribe(MembersChanged, self._on_members)
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Refuse what would wait too long; hold the place until the first token."""
+        """Reject a request that would wait too long, or count it until its first token."""
         pool, route, request = exchange.pool, exchange.route, self._admission_request(exchange)
         assert pool is not None and route is not None
         if request is None:
@@ -121,8 +121,9 @@
         ):
             hint_s = (request.expected_ms or 0.0) / 1e3
             return Failure(_refusal(ErrorKind.OVERLOADED, exchange, hint_s))
-        # The engine takes urgent requests first: those of a workspace that
-        # holds much of the queue wait behind those of the others.
+        # Engines serve requests with a higher priority first. A workspace that holds
+        # much of the queue gets a lower priority, so that its requests wait behind
+        # those of the others.
         exchange.priority = request.priority if light else max(0, request.priority - 1)
         try:
             return proceed(exchange)
@@ -130,14 +131,14 @@
             gate.release(request.workspace, request.cost_ms)
 
     def gate_of(self, pool: Pool) -> FairGate:
-        """Return the gate of a pool, made on first use."""
+        """Return the admission gate of a pool, created on first use."""
         gate = self.gates.get(pool.name)
         if gate is None:
             gate = self.gates[pool.name] = FairGate()
         return gate
 
     def capacity_ms(self, pool: Pool, deadline_ms: float) -> float:
-        """Return the queue that this daemon may keep at a pool."""
+        """Return the prefill work, in milliseconds, that this daemon may queue at a pool."""
         return admission.queue_capacity_ms(len(pool.targets), self.member_count, deadline_ms)
 
     def _admission_request(self, exchange: Exchange) -> AdmissionRequest | None:
@@ -167,7 +168,7 @@
 
 
 class EarlyRejectionFilter(Filter):
-    """Refuses a flood before any work is spent on its placement."""
+    """Sheds load before any work is spent on placement."""
 
     order = 395
 
@@ -175,7 +176,7 @@
         self.admission_filter = admission_filter
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Refuse what even with a fully cached prompt would not be admitted."""
+        """Reject a request that would not be admitted even with a fully cached prompt."""
         route, pool = exchange.route, exchange.pool
         assert route is not None and pool is not None
         if pool.kind is not PoolKind.ENGINE:
--- a/agaterail/filters/match.py
+++ b/agaterail/filters/match.py
@@ -1,4 +1,4 @@
-"""Match a request to a route by caller and kind."""
+"""Match a request to a route by caller, model, path and method."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class MatchFilter(Filter):
-    """Finds the route and parses chat completions."""
+    """Finds the route of a request and parses chat completions."""
 
     order = 200
 
@@ -29,7 +29,7 @@
         self.index = CallerIndex()
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Refuse a request that no route serves."""
+        """Reject a request that no route serves."""
         if exchange.tables.through == NO_VERSION:
             return Failure(errors.Failure(errors.ErrorKind.TABLES_UNAVAILABLE))
         routes = self.index.routes_of(exchange.tables, exchange.caller)
@@ -50,14 +50,14 @@
 
 
 class CallerIndex:
-    """Routes by caller, rebuilt when other tables are in force."""
+    """Index of routes by caller, rebuilt when the routes change."""
 
     def __init__(self) -> None:
         self.routes: object = None
         self.by_caller: dict[str, list[Route]] = {}
 
     def routes_of(self, tables: Tables, caller: str) -> list[Route]:
-        """Return the routes that a caller may use, in order of their names."""
+        """Return the routes that a caller may use, sorted by name."""
         if tables.routes is not self.routes:
             self.routes = tables.routes
             self.by_caller = _group_by_caller(tables)
--- a/agaterail/filters/prefix.py
+++ b/agaterail/filters/prefix.py
@@ -1,4 +1,4 @@
-"""Name the prefix of a chat completion."""
+"""Compute the block keys of the prompt of a chat completion."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     order = 400
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Name the prefix and proceed."""
+        """Compute the block keys and proceed."""
         if (
             exchange.chat is not None
             and exchange.route is not None
@@ -34,11 +34,11 @@
 
 
 def assign_prefix(exchange: Exchange, weights_version: str) -> None:
-    """Name the prompt in the scope of some weights.
+    """Set the scope and the prefix of a request for a weights version.
 
-    While a rollout runs, engines of one pool serve two versions. Blocks that
-    the older weights computed must not be found under the newer ones' keys, so
-    the scope is that of the target, not of the pool's row.
+    During a rollout, engines of one pool serve two versions. Blocks computed with the
+    older weights must not be found under keys of the newer ones, so the scope uses the
+    version of the target and not that of the pool's row.
     """
     assert exchange.route is not None and exchange.pool is not None
     assert exchange.chat is not None
@@ -49,7 +49,7 @@
 
 
 def prefix_for_scope(exchange: Exchange, scope: Scope) -> Prefix:
-    """Return the prompt's prefix as it is named in a scope."""
+    """Return the prefix of the prompt, with the block keys of a scope."""
     assert exchange.pool is not None and exchange.chat is not None
     pool = exchange.pool
     return compute_prefix(
--- a/agaterail/filters/relay.py
+++ b/agaterail/filters/relay.py
@@ -1,4 +1,4 @@
-"""Pass an engine's answer on to the caller, whole and in order."""
+"""Relay an engine's answer to the caller, complete and in order."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class RelayFilter(Filter):
-    """Reads the first part inside the chain, so that its loss can be retried."""
+    """Reads the start of an answer inside the chain, so that its loss can be retried."""
 
     order = 650
 
@@ -42,11 +42,11 @@
         self.app = app
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Replace the engine's answer by one that is checked on its way."""
+        """Replace the engine's answer with one that is validated while it is relayed."""
         try:
             result = self._handle(exchange, proceed)
         except gevent.GreenletExit:
-            # The caller left, or another attempt of the request was faster.
+            # The caller disconnected, or another attempt of the request was faster.
             self._cancel_wasted_run(exchange, WasteReason.LEFT)
             raise
         if (
@@ -107,14 +107,14 @@
 
 
 class StreamRelay:
-    """Iterator over the checked parts of one stream.
+    """Iterator over the validated parts of one stream.
 
     Attributes
     ----------
     attempt_id, address, weights_version
-        Run that the stream is read from.
+        The run from which the stream is read.
     resumes
-        Times that the stream was taken up again after a failure.
+        Number of attempts to resume the stream after a failure.
     """
 
     def __init__(self, app: Application, exchange: Exchange, source: EngineReply) -> None:
@@ -157,7 +157,7 @@
                 return self._fail(failure)
 
     def read_frames(self) -> bytes:
-        """Read until at least one whole frame; nothing at the end or a gap."""
+        """Read at least one complete frame; empty at the end or at a missing frame."""
         while not self.validator.broken:
             data = self.source.read_available()
             if not data:
@@ -168,7 +168,7 @@
         return b""
 
     def close(self) -> None:
-        """Release the stream; a caller that left early stops the engine too."""
+        """Release the stream, and cancel the run if the caller left before its end."""
         if not self.ended:
             self.ended = True
             self.source.discard()
@@ -261,8 +261,8 @@
         self.validator = validator
 
     def _fail(self, failure: errors.Failure) -> bytes:
-        # Ending here without a word would look like a whole answer to a
-        # client that does not wait for the final frame.
+        # Ending the stream silently would look like a complete answer to a client that
+        # does not wait for the final frame.
         self.source.discard()
         self.ended = True
         cancel_in_background(self.app, self.address, self.attempt_id)
@@ -275,7 +275,7 @@
 
 
 def cancel_in_background(app: Application, address: str, attempt_id: str) -> None:
-    """Stop a run at its engine, without waiting for the engine."""
+    """Cancel a run at its engine, without waiting for the answer."""
     app.timers.after(0.0, lambda: _cancel(app, address, attempt_id))
 
 
@@ -287,7 +287,7 @@
 
 
 def error_object(failure: errors.Failure) -> dict[str, dict[str, str]]:
-    """Return the error in the shape that OpenAI clients expect."""
+    """Return the error in the format that OpenAI clients expect."""
     return {
         "error": {
             "message": failure.message,
--- a/agaterail/filters/retry.py
+++ b/agaterail/filters/retry.py
@@ -1,4 +1,4 @@
-"""Send a request to another target when that is safe and affordable."""
+"""Retry a request on another target if that is safe and within the budget."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 class RetryBudget:
-    """Retries as a fraction of the requests of this daemon.
+    """Limits retries to a fraction of the requests of this daemon.
 
-    A count per request would multiply the traffic of a pool that is dying;
-    the shared budget bounds it to a fraction.
+    A limit per request would multiply the traffic to a failing pool; the shared budget
+    bounds the additional traffic to a fraction.
     """
 
     def __init__(self, fraction: float = BUDGET_FRACTION, burst: float = BUDGET_BURST) -> None:
@@ -46,11 +46,11 @@
         self.tokens = burst
 
     def on_request(self) -> None:
-        """Earn a fraction of a retry."""
+        """Add the fraction of a retry that each request earns."""
         self.tokens = min(self.burst, self.tokens + self.fraction)
 
     def take(self) -> bool:
-        """Spend one retry if there is one."""
+        """Spend one retry; return False if the budget is exhausted."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -58,7 +58,7 @@
 
 
 class RetryFilter(Filter):
-    """Repeats the inner filters with the failed target excluded."""
+    """Runs the inner filters again with the failed target excluded."""
 
     order = 450
 
@@ -70,7 +70,7 @@
         self.budget = budget
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Try targets until one answers or trying again is not allowed."""
+        """Try targets until one answers or no further retry is allowed."""
         self.budget.on_request()
         possibly_run: errors.Failure | None = None
         previous: errors.Failure | None = None
@@ -80,24 +80,28 @@
                 return result
             failure = result.failure()
             if failure.kind is ErrorKind.NO_TARGET and previous is not None:
-                # Why the only targets failed says more than that none is left.
+                # The failure of the last target is more useful than the fact that no
+                # target is left.
                 failure = previous
             previous = failure
             if failure.outcome is not Outcome.NOT_RUN:
                 possibly_run = failure
             if result.failure() is not failure or not self._may_retry(exchange, failure):
-                # An earlier target may have run the request although the last
-                # one did not: "not run" would then be false.
+                # An earlier target may have run the request even if the last one did
+                # not, so reporting "not run" would be wrong.
                 return Failure(possibly_run or failure)
             self._exclude(exchange, failure)
-            logger.info("Retries.", request=exchange.request_id, after=failure.kind.value)
+            logger.info(
+                "Retrying the request.", request=exchange.request_id, after=failure.kind.value
+            )
 
     def _exclude(self, exchange: Exchange, failure: errors.Failure) -> None:
         if exchange.decision is None or exchange.pool is None:
             return
         address = exchange.decision.address
-        # The answer told which weights the target has. Asked again in their scope
-        # it serves; left out, a pool in a rollout could run dry.
+        # The answer reported the weights version of the target, which serves a retry
+        # with block keys of that version. Excluding it could leave a pool without
+        # targets during a rollout.
         weights_version = self.targets.states[address].weights_version
         if failure.kind is ErrorKind.WRONG_WEIGHTS and exchange.pool.serves(weights_version):
             return
@@ -107,8 +111,8 @@
         if failure.kind not in RETRYABLE or exchange.attempt >= MAX_ATTEMPTS:
             return False
         if exchange.at_most_once and failure.outcome is not Outcome.NOT_RUN:
-            # A target may have acted on the first copy; a second one could
-            # book the same swap twice.
+            # A target may have acted on the first attempt; a retry could perform the
+            # action twice, such as book the same swap again.
             return False
         if self.timers.now() >= exchange.deadline_at:
             return False
--- a/agaterail/filters/transfer.py
+++ b/agaterail/filters/transfer.py
@@ -1,4 +1,4 @@
-"""Import cached blocks where that is cheaper than computing them again."""
+"""Import cached blocks if that is cheaper than recomputing them."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 logger = logs.get_logger("transfer")
 
-# An import that takes longer than twice its estimate is not waited for: the
-# engine computes the blocks as if there had been none.
+# A request waits for an import at most this multiple of its estimated duration. After
+# that, the engine computes the blocks as if there were no import.
 IMPORT_WAIT_FACTOR = 2.0
 
 
 class TransferFilter(Filter):
-    """Starts the planned import and sends the request when it can be of use."""
+    """Starts the planned import and waits a limited time for it."""
 
     order = 600
 
@@ -33,7 +33,7 @@
         self.app = app
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Import when the decision says so, then proceed in any case."""
+        """Import blocks if the decision plans it, and proceed even if the import fails."""
         decision, prefix, pool = exchange.decision, exchange.prefix, exchange.pool
         if decision is None or prefix is None or pool is None:
             return proceed(exchange)
@@ -57,7 +57,7 @@
         assert exchange.prefix is not None and exchange.decision is not None
         keys = exchange.prefix.keys[transfer.start : transfer.end]
         importing = gevent.spawn(self._import_blocks, engine, keys, transfer)
-        # While the request waits in the engine's queue the import goes on.
+        # The import continues while the request waits in the engine's queue.
         queue_ms = max(0.0, exchange.decision.queue_ms)
         wait_ms = transfer.transfer_ms * IMPORT_WAIT_FACTOR - queue_ms
         importing.join(timeout=max(0.0, wait_ms) / 1e3)
--- a/agaterail/framing.py
+++ b/agaterail/framing.py
@@ -1,4 +1,4 @@
-"""Strict check of where requests begin and end, beside a more lenient server."""
+"""Strict validation of request framing, in addition to the server's lenient parser."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class FramingError(ValueError):
-    """The bytes leave open where the request or a part of it ends."""
+    """The framing of a request is malformed or ambiguous."""
 
 
 class FramingCheck:
-    """llhttp on the same bytes that the server reads.
+    """Runs llhttp on the same bytes that the server reads.
 
-    The server's own parser takes a length beside chunks, two lengths, ``+3`` as a
-    length, a space before the colon and bare line feeds. A target or a proxy that
-    reads such bytes otherwise sees another request in them, which a caller can
-    smuggle in so; llhttp refuses all of them.
+    The server's own parser accepts a content length together with chunked encoding, two
+    lengths, ``+3`` as a length, a space before the colon and bare line feeds. A target
+    or proxy that interprets such bytes differently sees another request in them, which
+    allows request smuggling. llhttp rejects all of these.
     """
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take in the next bytes of the request.
+        """Validate the next bytes of the request.
 
         Raises
         ------
         FramingError
-            If they are not clear.
+            If the framing is malformed or ambiguous.
         """
         try:
             self.parser.feed_data(data)
@@ -38,24 +38,24 @@
 
 
 class CheckedFile:
-    """File of a chunked body whose bytes are checked as they are read."""
+    """File wrapper that validates the bytes of a chunked body as they are read."""
 
     def __init__(self, file: Any, check: FramingCheck) -> None:
         self.file = file
         self.check = check
 
     def read(self, size: int = -1) -> bytes:
-        """Return the next bytes; raises ``OSError`` if they are not clear."""
+        """Return the next bytes; raises ``OSError`` if their framing is invalid."""
         return self._checked(self.file.read(size))
 
     def readline(self, size: int = -1) -> bytes:
-        """Return the next line; raises ``OSError`` if it is not clear."""
+        """Return the next line; raises ``OSError`` if its framing is invalid."""
         return self._checked(self.file.readline(size))
 
     def _checked(self, data: bytes) -> bytes:
         try:
             self.check.feed(data)
         except FramingError as error:
-            # As any body that cannot be read to its end.
+            # Callers treat this like any body that cannot be read to its end.
             raise OSError(str(error)) from error
         return data
--- a/agaterail/sse.py
+++ b/agaterail/sse.py
@@ -19,25 +19,26 @@
 
 @attrs.define
 class FrameValidator:
-    """Cuts a stream into whole frames and checks their positions.
+    """Splits a stream into frames and checks that none is missing.
 
     Attributes
     ----------
     position
         Position of the next frame that the caller has not seen.
     finished
-        The engine's final frame was seen.
+        Whether the engine's final frame was received.
     broken
-        A frame was missing or had no position, or the runs differ.
+        Whether a frame was missing, too large or without a position, or a rerun differs.
     diverged
-        Another run did not begin with the frames that were sent before.
+        Whether a rerun did not begin with the frames that were already sent.
     run_id, first_run_id
-        Id of the engine's run in its frames, and the one that the caller saw
-        first; after a run elsewhere the caller still sees one completion.
+        Id of the current run in the engine's frames, and that of the first run. The
+        latter replaces the former, so that the caller sees one completion even after a
+        rerun.
     replay_until
-        Position below which frames were sent before and are only compared.
+        Position below which frames were already sent and are only compared.
     replay_digest
-        Digest of the frames sent before; None when there is nothing to compare.
+        Digest of the frames already sent; None if there is nothing to compare.
     """
 
     position: int = 0
@@ -52,13 +53,13 @@
     sent_hash: blake2b = attrs.field(factory=_new_hash)
 
     def accept(self, data: bytes) -> bytes:
-        """Return the new whole frames in the data, repeats dropped.
+        """Return the new complete frames in the data, without repeated ones.
 
-        After a missing frame nothing more is returned: a caller must not get
-        a stream with a hole in it.
+        Nothing more is returned after a missing frame, because a caller must not get a
+        stream with a gap.
         """
         whole, separator, self.partial = (self.partial + data).rpartition(SEPARATOR)
-        # A frame without an end would be kept in memory for as long as it comes.
+        # Otherwise an unterminated frame would be buffered without limit.
         self.broken = self.broken or len(self.partial) > MAX_FRAME_BYTES
         if not separator:
             return b""
@@ -77,11 +78,11 @@
         return self._join_and_hash(new) if new else b""
 
     def for_resume(self) -> FrameValidator:
-        """Return the check of the same run, read on from the next position."""
+        """Return a validator that continues the same run at the next position."""
         return attrs.evolve(self, partial=b"", broken=False)
 
     def for_rerun(self, run_id: bytes) -> FrameValidator:
-        """Return the check of another run, whose first frames must be the same."""
+        """Return a validator of another run, which must begin with the same frames."""
         return FrameValidator(
             run_id=run_id,
             first_run_id=self.first_run_id,
@@ -97,8 +98,8 @@
         return joined
 
     def _has_diverged(self) -> bool:
-        # Another run may sample other tokens. Its rest appended to the first
-        # run's beginning would read as one answer that no engine gave.
+        # Another run may sample different tokens. Its remainder, appended to the frames
+        # of the first run, would form an answer that no engine generated.
         if self.replay_digest is None or self.position < self.replay_until:
             return False
         expected, self.replay_digest = self.replay_digest, None
--- a/agaterail/wsgi.py
+++ b/agaterail/wsgi.py
@@ -1,4 +1,4 @@
-"""WSGI server whose requests are bounded in size and time."""
+"""WSGI server with limits on the size and duration of requests."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
 
 class BoundedHandler(WSGIHandler):
-    """Handler that gives up on heads that are too large, too slow or idle.
+    """Handler that limits the size and time of request heads and the idle time.
 
-    Without these bounds a caller that sends headers without end fills the
-    memory, and one that sends a byte now and then holds a connection for good;
-    a few thousand of them take all descriptors of the process.
+    Without these limits, a caller that sends endless headers exhausts the memory, and
+    one that sends a byte now and then holds a connection forever; a few thousand such
+    connections exhaust the file descriptors of the process.
     """
 
     rfile: Any
@@ -57,7 +57,7 @@
             self._stop_head_timer()
 
     def read_requestline(self) -> str:
-        """Wait for the next request; nothing means that none came."""
+        """Wait for the next request line; empty if none arrives in time."""
         self.head_timer = None
         with gevent.Timeout(self.server.settings.idle_timeout_s, False):
             if self.rfile.peek(1):
@@ -75,18 +75,18 @@
         try:
             self.framing.feed(raw_requestline.encode("latin-1"))
             return super().read_request(raw_requestline)
-        except http.client.HTTPException as error:  # more headers than the library takes
+        except http.client.HTTPException as error:  # more headers than the library accepts
             raise HeadTooLargeError(str(error)) from error
         finally:
             self._stop_head_timer()
 
     def MessageClass(self, file: Any, *arguments: Any) -> Any:  # noqa: N802
-        """Parse the headers from lines whose sum is bounded."""
+        """Parse the headers with a limit on their total size."""
         limit = self.server.settings.max_header_bytes - self.head_bytes
         return super().MessageClass(_BoundedLines(file, limit, self.framing), *arguments)
 
     def run_application(self) -> None:
-        """Answer the request; a body that was refused is not read to its end."""
+        """Answer the request, without reading the rest of a rejected body."""
         try:
             super().run_application()
         finally:
@@ -94,15 +94,16 @@
                 self.wsgi_input = Input(self.rfile, 0)
 
     def _sendall(self, data: bytes) -> None:
-        # One system call for what fits into the socket's buffer, as an event
-        # nearly always does; the library's sendall asks for its size first.
+        # An event nearly always fits into the socket's buffer, so that one system call
+        # suffices; the library's sendall first makes another one for the buffer's size.
         sent = self.socket.send(data)
         if sent < len(data):
             super()._sendall(memoryview(data)[sent:])
         self.response_length += sent
 
     def _write_with_headers(self, data: bytes) -> None:
-        # The library sends head and first part in two calls and two segments.
+        # Sends the head together with the first part of the body. The library uses two
+        # calls, which result in two TCP segments.
         self.headers_sent = True
         self.finalize_headers()
         head = [b"HTTP/1.1 " + self.status]
@@ -113,14 +114,14 @@
         self._sendall(start + data)
 
     def log_request(self) -> None:
-        """Leave the log to the filters."""
+        """Do nothing, since the filters log requests."""
 
     def log_error(self, msg: str, *args: object) -> None:
-        """Leave out what the library would quote of the request: it may hold keys."""
+        """Log without the library's excerpt of the request, which may contain API keys."""
         logger.info("Refused a malformed request.", caller=str(self.client_address))
 
     def get_environ(self) -> dict[str, Any]:
-        """Add the caller's socket, which is watched for the caller's leaving."""
+        """Add the caller's socket, so that a disconnect can be detected."""
         file = self.rfile
         if "chunked" in self.headers.get("transfer-encoding", "").lower():
             self.rfile = CheckedFile(file, self.framing)
@@ -132,7 +133,7 @@
         return environ
 
     def handle_error(self, kind: Any, error: Any, trace: Any) -> None:
-        """Close without a word when the caller left or reads too slowly."""
+        """Close the connection silently if the caller left or reads too slowly."""
         if issubclass(kind, (gevent.GreenletExit, TimeoutError)):
             self.close_connection = True
             return
@@ -142,7 +143,7 @@
         if isinstance(ex, HeadTooLargeError):
             logger.info("Refused a request head.", reason="too large")
             return HEAD_TOO_LARGE_RESPONSE
-        if isinstance(ex, OSError):  # the caller left in the middle of a head
+        if isinstance(ex, OSError):  # the caller disconnected within a request head
             return TIMEOUT_RESPONSE
         return super()._handle_client_error(ex)
 
@@ -152,7 +153,7 @@
 
 
 class BoundedServer(WSGIServer):
-    """Server that hands the settings to its handlers."""
+    """Server that gives its handlers access to the settings."""
 
     handler_class = BoundedHandler
 
@@ -160,8 +161,8 @@
         listener = _tcp_listener(
             (address.host, address.port), backlog=BACKLOG, reuse_addr=True
         )
-        # Accepted connections inherit this. With Nagle's algorithm an event
-        # waits for the caller's delayed acknowledgement, about 40 ms.
+        # Accepted connections inherit this option. With Nagle's algorithm, an event
+        # would wait about 40 ms for the caller's delayed acknowledgment.
         listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         tls: dict[str, Any] = {}
         if settings.tls_certificate and settings.tls_key:
@@ -171,7 +172,7 @@
 
 
 class _BoundedLines:
-    """Lines of a file, checked, until their sum exceeds a limit."""
+    """File wrapper that validates header lines and limits their total size."""
 
     def __init__(self, file: Any, limit: int, framing: FramingCheck) -> None:
         self.file = file
@@ -183,7 +184,7 @@
         line = self.file.readline(max(1, min(limit, self.remaining_bytes + 1)))
         self.remaining_bytes -= len(line)
         if self.remaining_bytes < 0:
-            raise HeadTooLargeError("too many bytes")
+            raise HeadTooLargeError("request head exceeds max_header_bytes")
         self.framing.feed(line)
         return line
 
