--- a/agaterail/application.py
+++ b/agaterail/application.py
@@ -1,4 +1,4 @@
-"""The application object that wires the parts of one daemon."""
+"""The application object that connects the components of one daemon."""
 
 from __future__ import annotations
 
@@ -86,14 +86,14 @@
 
 
 class Application:
-    """Parts of one daemon and the state that they share.
+    """Components of one daemon and the state that they share.
 
     Attributes
     ----------
     tables
         Tables in force; replaced as a whole, never changed in place.
     ready
-        Whether new connections are wanted.
+        Whether the load balancer should send new connections.
     """
 
     def __init__(
@@ -148,16 +148,16 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer should send new connections."""
+        """Whether tables are loaded and no drain is in progress."""
         return not self.draining and self.tables.through != NO_VERSION
 
     def start(self) -> None:
-        """Receive from peers and start the controllers.
+        """Start receiving peer messages and start the controllers.
 
         Raises
         ------
         OSError
-            If the address for peers cannot be bound.
+            If the peer address cannot be bound.
         """
         self.peers.start()
         for controller in self.controllers.values():
@@ -166,7 +166,7 @@
         logger.info("Controllers started.", count=len(self.controllers))
 
     def stop(self) -> None:
-        """Stop the controllers."""
+        """Stop the controllers and receiving peer messages."""
         for subscription in self.subscriptions:
             subscription.cancel()
         self.peers.stop()
@@ -197,33 +197,34 @@
         try:
             result = self.chain.run(exchange)
         except BaseException:
-            # The caller left or a filter raised. What the filters hold for the
-            # request would otherwise be held for good, and a drain never end.
+            # The caller disconnected or a filter raised an exception. Otherwise the
+            # filters would never release what they hold for the request, and a drain
+            # would never end.
             exchange.finish(Outcome.UNKNOWN)
             raise
         self._record_metrics(exchange, result)
         return exchange, result
 
     def policy_of(self, pool: Pool) -> Policy:
-        """Return the policy that a pool names."""
+        """Return the policy of a pool, or the default policy if it is unknown."""
         return self.policies.get(pool.policy) or self.policies[DEFAULT_POLICY]
 
     def engine_at(self, address: str) -> Engine:
-        """Return the client of an engine, made on first use."""
+        """Return the client of an engine, created on first use."""
         engine = self.engines.get(address)
         if engine is None:
             engine = self.engines[address] = HttpEngine(Address.parse(address))
         return engine
 
     def service_at(self, address: str) -> Service:
-        """Return the client of a service, made on first use."""
+        """Return the client of a service, created on first use."""
         service = self.services.get(address)
         if service is None:
             service = self.services[address] = HttpService(Address.parse(address))
         return service
 
     def status(self) -> dict[str, Any]:
-        """Return what the ``status`` command shows."""
+        """Return the status of the daemon and of its controllers."""
         shown = ((name, item.status()) for name, item in self.controllers.items())
         parts = {name: fields for name, fields in shown if fields}
         own = {"version": __version__, "ready": self.ready, "in_flight": self.in_flight}
--- a/agaterail/metrics.py
+++ b/agaterail/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timings, sent by statsd."""
+"""Counters, gauges and timings, sent to statsd."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class MetricKind(enum.Enum):
-    """How statsd treats a metric."""
+    """Type of a statsd metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -33,9 +33,9 @@
     Attributes
     ----------
     name
-        Name without the prefix; ``{}`` stands for a member's value.
+        Name without the prefix; ``{}`` is a placeholder for the value of a member.
     members
-        Enumeration whose values ``{}`` stands for.
+        Enumeration whose values replace ``{}``.
     """
 
     name: str
@@ -45,7 +45,7 @@
     members: type[enum.Enum] | None = None
 
     def names(self) -> list[str]:
-        """Return the names with each member filled in."""
+        """Return the complete names, one for each member."""
         if self.members is None:
             return [self.name]
         return [self.name.format(member.value) for member in self.members]
@@ -102,7 +102,7 @@
 
 
 class StatsdMetrics(Metrics):
-    """Metrics sent to a statsd server by UDP."""
+    """Metrics sent to a statsd server over UDP."""
 
     def __init__(self, address: Address) -> None:
         self.client = statsd.StatsClient(address.host, address.port, prefix=PREFIX)
@@ -121,7 +121,7 @@
 
 
 class MemoryMetrics(Metrics):
-    """Metrics kept in memory, for tests and for daemons without a server."""
+    """Metrics kept in memory, for tests and for daemons without a statsd server."""
 
     def __init__(self) -> None:
         self.counters: dict[str, int] = {}
--- a/agaterail/server.py
+++ b/agaterail/server.py
@@ -33,7 +33,7 @@
 
 
 class CallerResource:
-    """Passes every request that is not the router's own to the filters."""
+    """Passes every request that no other resource handles to the filters."""
 
     def __init__(self, app: Application) -> None:
         self.app = app
@@ -81,7 +81,7 @@
         length = request.content_length
         if length is not None and length > limit:
             return errors.Failure(ErrorKind.BODY_TOO_LARGE)
-        # A body that trickles in would hold its part in memory for good.
+        # A body that arrives slowly would otherwise hold its memory indefinitely.
         with gevent.Timeout(self.app.settings.body_timeout_s) as timer:
             try:
                 body = _body_stream(request).read(limit + 1)
@@ -104,35 +104,35 @@
 
 
 class HealthResource:
-    """Answers while the process runs."""
+    """Liveness probe; succeeds while the process runs."""
 
     def on_get(self, _request: falcon.Request, response: falcon.Response) -> None:
-        """Answer always."""
+        """Report success."""
         response.text = "ok\n"
 
 
 class ReadyResource:
-    """Tells the balancer whether to send new connections."""
+    """Readiness probe for the load balancer."""
 
     def __init__(self, app: Application) -> None:
         self.app = app
 
     def on_get(self, _request: falcon.Request, response: falcon.Response) -> None:
-        """Fail before tables are loaded and once a drain began."""
+        """Fail until tables are loaded and after a drain has started."""
         if not self.app.ready:
             response.status = NOT_READY
         response.text = "ready\n" if self.app.ready else "not ready\n"
 
 
 class ModelsResource:
-    """Lists the models that the caller's routes serve, in the OpenAI form."""
+    """Lists the models that the caller's routes serve, in the OpenAI format."""
 
     def __init__(self, app: Application) -> None:
         self.app = app
         self.index = CallerIndex()
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer all models."""
+        """Return all models."""
         names = self._model_names(request)
         if not names:
             _send_failure(response, self._refusal(names), "")
@@ -142,7 +142,7 @@
     def on_get_one(
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
-        """Answer one model."""
+        """Return one model."""
         names = self._model_names(request)
         if name in names:
             response.media = _model_object(name)
@@ -189,8 +189,9 @@
 
 
 def _limit_stream_writes(exchange: Exchange, sock: Any, watch: CallerWatch) -> None:
-    # A reader that takes nothing for so long is cut; until then its engine's
-    # stream waits in the kernel's bounded buffers and no other is touched.
+    # A caller that reads nothing for SEND_TIMEOUT_S is disconnected. Until then, the
+    # stream of its engine waits in the kernel's bounded buffers and no other stream is
+    # affected.
     sock.setsockopt(SOL_SOCKET, SO_SNDBUF, SEND_BUFFER_BYTES)
     sock.settimeout(SEND_TIMEOUT_S)
 
@@ -224,8 +225,8 @@
     response.set_header("x-agaterail-outcome", failure.outcome.value)
     if request_id:
         response.set_header("x-request-id", request_id)
-    # Stock OpenAI clients send a failed request again by themselves; with an
-    # unknown outcome they would do so without the caller's knowledge.
+    # OpenAI clients retry failed requests on their own. Without this header they would
+    # also retry requests with an unknown outcome, unnoticed by the caller.
     retry = failure.retry_hint_s is not None
     response.set_header("x-should-retry", "true" if retry else "false")
     if failure.retry_hint_s is not None:
@@ -240,5 +241,5 @@
         response.status = error.status
         response.data = json.dumps(error.to_dict()).encode()
         return
-    logger.error("Request raised.", exc_info=error)
+    logger.error("Unhandled exception in a request.", exc_info=error)
     _send_failure(response, errors.Failure(ErrorKind.INTERNAL), "")
--- a/agaterail/status.py
+++ b/agaterail/status.py
@@ -1,4 +1,4 @@
-"""Status of a daemon for operators, asked for over the peer port."""
+"""Status of a daemon for operators, served on the peer port."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 @peer_message
 @attrs.frozen
 class StatusAnswer:
-    """Status of a daemon as a JSON object, which differs by its parts."""
+    """Status of a daemon as a JSON object; its fields depend on the loaded modules."""
 
     report: str
 
 
 def build_report(app: Application) -> dict[str, Any]:
-    """Return what the parts say, and each engine with its home."""
+    """Return the status of the application, and the home of each engine."""
     homes = {
         entry.address: app.homes.home_of(entry.address)
         for versioned in app.tables.pools.values()
@@ -40,7 +40,7 @@
 
 
 def setup(app: Application) -> None:
-    """Answer status queries."""
+    """Register the handler of status queries."""
 
     def answer(_sender: str, _query: StatusQuery) -> StatusAnswer:
         return StatusAnswer(json.dumps(build_report(app), default=str))
--- a/agaterail/timers.py
+++ b/agaterail/timers.py
@@ -1,4 +1,4 @@
-"""Timer service that every part subscribes to instead of reading a clock."""
+"""Timer service that all components use instead of reading a clock."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self.active = True
 
     def cancel(self) -> None:
-        """Stop the timer; a call that is running goes on."""
+        """Stop the timer; a call in progress is not interrupted."""
         self.active = False
 
 
@@ -41,7 +41,7 @@
 
     @abc.abstractmethod
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
 
     @abc.abstractmethod
     def after(self, delay_s: float, callback: Callable[[], None]) -> Subscription:
@@ -56,7 +56,7 @@
     """Timers on gevent's loop, one greenlet per subscription."""
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
     def after(self, delay_s: float, callback: Callable[[], None]) -> Subscription:
@@ -66,7 +66,7 @@
         return subscription
 
     def every(self, period_s: float, callback: Callable[[], None]) -> Subscription:
-        """Call repeatedly; the first call comes at once."""
+        """Call repeatedly; the first call is made immediately."""
         subscription = Subscription()
         gevent.spawn(_repeat, subscription, period_s, callback)
         return subscription
@@ -78,8 +78,8 @@
     try:
         callback()
     except Exception:
-        # A part that raises would silently lose its timer and stop
-        # reconciling; the log line shows it and the timer goes on.
+        # Without this, an exception would silently end the timer, and its owner would
+        # stop reconciling. Instead it is logged and the timer continues.
         logger.exception("Timer call failed.", callback=getattr(callback, "__qualname__", "?"))
 
 
@@ -99,7 +99,7 @@
 
 
 class ManualTimerService(TimerService):
-    """Timers that move only when a test says so."""
+    """Timers for tests, whose time moves only with ``advance``."""
 
     def __init__(self, start_s: float = 1000.0) -> None:
         self.time_s = start_s
@@ -107,7 +107,7 @@
         self.sequence_numbers = itertools.count()
 
     def now(self) -> float:
-        """Return the manual time."""
+        """Return the current manual time."""
         return self.time_s
 
     def after(self, delay_s: float, callback: Callable[[], None]) -> Subscription:
@@ -115,11 +115,11 @@
         return self._push(delay_s, callback, None)
 
     def every(self, period_s: float, callback: Callable[[], None]) -> Subscription:
-        """Call at each period that the time is advanced past."""
+        """Call once for each period that the time is advanced past."""
         return self._push(period_s, callback, period_s)
 
     def advance(self, seconds: float) -> None:
-        """Move the time forward and make the calls that fall due, in order."""
+        """Advance the time and make the calls that become due, in order."""
         end = self.time_s + seconds
         while self.queue and self.queue[0].due_at <= end:
             scheduled = heapq.heappop(self.queue)
--- a/tests/test_agaterail/test_errors.py
+++ b/tests/test_agaterail/test_errors.py
@@ -51,7 +51,7 @@
                 )
 
     def test_a_request_that_may_have_run_gets_a_retry_hint_only_if_a_retry_is_safe(self):
-        # Clients send a hinted request again by themselves.
+        # Clients retry a request with a hint on their own.
         safe = {ErrorKind.DUPLICATE_IN_PROGRESS, ErrorKind.WRONG_WEIGHTS}
         for kind, answer in ANSWERS.items():
             if answer.outcome is not Outcome.NOT_RUN and kind not in safe:
--- a/tests/test_agaterail/test_filters/test_choose.py
+++ b/tests/test_agaterail/test_filters/test_choose.py
@@ -64,8 +64,9 @@
         self.assertEqual(self.blocks(), cached)
 
     def test_a_refused_request_leaves_no_predicted_blocks(self):
-        # Both engines refuse before running. Were the blocks still expected,
-        # the next requests would be drawn to an engine that has none of them.
+        # Both engines refuse the request before running it. If the predicted blocks
+        # remained, the next requests would be placed on an engine that has none of
+        # them.
         for engine in self.engines.values():
             engine.faults.refuse = True
         response, _ = self.daemon.chat(HISTORY)
@@ -73,7 +74,7 @@
         self.assertEqual((self.predicted(), self.running()), (0, 0))
 
     def test_a_request_with_a_mispredicted_hit_is_answered(self):
-        # The engine loses its cache and the home has not heard of it yet.
+        # The engine loses its cache, and its home has not received the events yet.
         self.daemon.chat(HISTORY)
         for engine in self.engines.values():
             engine.faults.event_delay_ms = 60_000
--- a/tests/test_agaterail/test_filters/test_claim.py
+++ b/tests/test_agaterail/test_filters/test_claim.py
@@ -56,12 +56,12 @@
         return error["code"], error["outcome"]
 
     def crash(self, number):
-        """Replace a daemon by a new one that knows nothing."""
+        """Replace a daemon with a new one that has no state."""
         self.kill(number)
         self.daemons[number] = self.start_daemon(ADDRESSES[number])
 
     def kill(self, number):
-        """Stop a daemon with all that it had queued."""
+        """Stop a daemon and drop everything that it had queued."""
         self.daemons[number].stop()
         controller = self.daemons[number].app.controllers["claims"]
         for forwarder in controller.forwarders.values():
@@ -109,8 +109,9 @@
         )
 
     def test_the_same_key_through_two_daemons_at_once_runs_once(self):
-        # The balancer brings one top-up through two daemons in the same moment.
-        # Both claim it; the first offset wins, the other is told it is running.
+        # The load balancer sends one request through two daemons at the same time. Both
+        # claim its key; the first offset wins, and the other is told that the request
+        # is in progress.
         self.service.faults.slow_ms = 200
         jobs = [gevent.spawn(self.swap, number % 2) for number in range(6)]
         gevent.joinall(jobs)
@@ -128,8 +129,8 @@
         self.assertEqual(self.service.journal, ["k1"])
 
     def test_a_connection_lost_after_the_call_leaves_the_outcome_unknown(self):
-        # The service books the swap and the connection breaks before its
-        # answer. Nobody knows the outcome, so a repeat must not book again.
+        # The service books the swap, but the connection breaks before its answer. The
+        # outcome is unknown, so a retry must not book again.
         self.service.faults.cut_after = 1
         self.assertEqual(self.refusal(0), ("target_lost", "unknown"))
         wait_until(lambda: any(batch.finishes for batch in self.batches()))
@@ -152,8 +153,8 @@
         self.assertEqual(self.batches(), [])
 
     def test_a_key_used_for_another_request_does_not_get_its_answer(self):
-        # A caller's bug gives two swaps one key. The recorded answer to the
-        # first must not pass for the second's, which was not run.
+        # A faulty caller uses one key for two swaps. The recorded answer to the first
+        # must not be returned for the second, which was not run.
         self.swap(0)
         wait_until(lambda: any(batch.finishes for batch in self.batches()))
         response, body = self.daemons[1].post(
@@ -183,8 +184,8 @@
         self.assertEqual(self.service.journal, ["k1"])
 
     def test_an_unreachable_owner_is_bypassed(self):
-        # Neither daemon reaches the other, so each appends for itself to the
-        # same partition. The offset decides, so the key still runs once.
+        # The daemons cannot reach each other, so each appends to the same partition
+        # itself. The offset decides, so the request still runs only once.
         self.network.cut = {ADDRESSES, ADDRESSES[::-1]}
         self.service.faults.slow_ms = 50
         jobs = [gevent.spawn(self.swap, number) for number in (0, 1)]
@@ -201,8 +202,8 @@
 
 class CrashTest(ClaimCase):
     def test_a_claim_of_a_crashed_daemon_is_never_run_again(self):
-        # The first daemon claimed the key and died, before or in the run: the
-        # log does not tell which. The repeat is told "unknown" and not run.
+        # The first daemon claimed the key and crashed before or during the run; the log
+        # does not show which. A retry is answered "unknown" and does not run.
         self.put_claim()
         self.crash(0)
         for number in (0, 1):
@@ -229,8 +230,8 @@
         self.assertEqual(self.service.journal, ["k1"])
 
     def test_a_crash_before_the_outcome_is_recorded_leaves_it_unknown(self):
-        # The swap was booked and answered; the daemon dies with the outcome
-        # not yet on the log. A repeat must not book it a second time.
+        # The swap was booked and answered, but the daemon crashes before the outcome is
+        # in the log. A retry must not book it again.
         self.service.faults.slow_ms = 100
         job = gevent.spawn(self.swap, 0)
         wait_until(lambda: self.service.journal)
@@ -244,8 +245,8 @@
         self.assertEqual(self.service.journal, ["k1"])
 
     def test_a_key_whose_record_expired_runs_again(self):
-        # What the log no longer keeps is forgotten by a daemon that starts
-        # now; docs/operators/errors.md states how long a key is remembered.
+        # A daemon that starts after a record expired from the log does not know its
+        # key; docs/operators/errors.md states how long a key is remembered.
         self.swap(0)
         wait_until(lambda: any(batch.finishes for batch in self.batches()))
         for stream in list(self.log.streams):
--- a/tests/test_agaterail/test_filters/test_hedge.py
+++ b/tests/test_agaterail/test_filters/test_hedge.py
@@ -28,8 +28,8 @@
         self.assertEqual([state.in_flight for state in states], [0, 0])
 
     def test_hedges_are_limited_by_the_retry_budget(self):
-        # Both engines hang. Each request would run twice; the shared budget
-        # keeps the second runs to a fraction of the traffic.
+        # Both engines hang, so every request would be hedged. The shared budget limits
+        # the hedges to a fraction of the traffic.
         self.daemon.app.retry_budget.tokens = 2.0
         for engine in self.engines:
             engine.faults.paused = True
--- a/tests/test_agaterail/test_filters/test_limits.py
+++ b/tests/test_agaterail/test_filters/test_limits.py
@@ -36,7 +36,7 @@
         return [job.get() for job in jobs]
 
     def assert_refused_requests_did_not_run(self, answers, codes):
-        """Every refusal is 'not run', and the engine's journal says so too."""
+        """Check that each refusal says 'not run' and that the engine's journal agrees."""
         served = [response for response, _ in answers if response.status_code == 200]
         refused = [(item, body) for item, body in answers if item.status_code != 200]
         self.assertTrue(served and refused)
@@ -45,7 +45,7 @@
             self.assertIn(error["code"], codes)
             self.assertEqual(error["outcome"], "not_run")
             self.assertGreater(int(response["retry-after-ms"]), 0)
-        # The rollout's own check of the engine is no caller's request.
+        # Leaves out the probes that the rollout sends to the engine.
         callers = [name for name in self.engine.journal if not name.startswith(PROBE_PREFIX)]
         ran = {name.partition(".")[0] for name in callers}
         self.assertEqual(ran, {item["x-request-id"] for item in served})
@@ -68,17 +68,17 @@
         self.assert_refused_requests_did_not_run(self.chat_concurrently(8), {"overloaded"})
 
     def test_one_workspace_does_not_fill_the_queue_of_an_engine(self):
-        # Forty prompts of 100 ms each arrive at once at one engine, due in 3 s.
-        # What would only wait there is refused at once instead of near its
-        # deadline.
+        # Forty prompts of 100 ms each arrive at the same time at one engine, with a
+        # deadline of 3 s. Requests that would only wait there are refused immediately
+        # instead of shortly before their deadline.
         self.start({"deadline_ms": 3_000})
         self.assert_refused_requests_did_not_run(
             self.chat_concurrently(40, "x" * 400), {"overloaded"}
         )
 
     def test_a_burst_that_fits_the_deadline_is_served(self):
-        # Found by the demo: a queue of fixed length refused a burst that would
-        # have been answered long before its deadline.
+        # A queue of fixed length would refuse a burst that can be answered long before
+        # its deadline.
         self.start({"deadline_ms": 30_000})
         answers = self.chat_concurrently(12, "x" * 400)
         self.assertEqual({item.status_code for item, _ in answers}, {200})
--- a/tests/test_agaterail/test_filters/test_relay.py
+++ b/tests/test_agaterail/test_filters/test_relay.py
@@ -38,7 +38,7 @@
         log.append(TABLES_STREAM, codec.encode(change, TablesRecord))
         self.daemon = LocalDaemon(log)
         wait_until(lambda: self.daemon.app.ready)
-        self.daemon.app.retry_budget.tokens = 0.0  # no second run on a busy machine
+        self.daemon.app.retry_budget.tokens = 0.0  # prevents a second run on a busy machine
         self.daemon.chat()
         self.daemon.app.retry_budget.tokens = 10.0
         self.preferred = next(engine for engine in self.engines if engine.journal)
@@ -105,9 +105,10 @@
         self.assert_complete(self.stream())
 
     def test_a_stream_of_a_lost_engine_is_rerun_on_another_engine(self):
-        # The engine dies after seven frames and comes back empty, so it knows
-        # nothing of the stream. Another engine runs the request anew; what the
-        # caller has is compared and dropped, and one completion id is shown.
+        # The engine crashes after seven frames and restarts without state, so it cannot
+        # resume the stream. Another engine reruns the request; frames that the caller
+        # already has are compared and dropped, and the caller sees a single completion
+        # id.
         self.preferred.faults.cut_after_frames = 7
         self.preferred.faults.no_resume = True
         self.assert_complete(self.stream())
@@ -115,11 +116,11 @@
         self.assertEqual(len(self.other.journal), 1)
 
     def test_a_rerun_with_other_tokens_is_not_appended(self):
-        # The second engine answers the same prompt with other tokens. Joined
-        # to the first frames they would be an answer that no engine gave.
+        # The second engine generates other tokens for the same prompt. Appended to the
+        # first frames, they would form an answer that no engine generated.
         self.preferred.faults.cut_after_frames = 7
         self.preferred.faults.no_resume = True
-        original = self.other._decode  # takes the place of a sampling engine
+        original = self.other._decode  # simulates an engine that samples
 
         def decode(job):
             job.answer_id = "other"
@@ -172,8 +173,9 @@
         self.assert_released()
 
     def test_a_disconnect_before_the_first_token_cancels_the_run(self):
-        # Nothing is written to the caller yet, so only watching its
-        # connection shows that it left; the engine would prefill for nobody.
+        # Nothing is written to the caller yet, so its disconnect is detected only by
+        # watching its connection. Otherwise the engine would prefill an answer that
+        # nobody reads.
         self.preferred.faults.paused = True
         caller = self.open_call()
         wait_until(lambda: self.daemon.app.in_flight == 1)
@@ -210,9 +212,9 @@
     config = EngineConfig(block_tokens=10, prefill_ms_per_token=0.001, decode_ms=0.2)
 
     def test_a_slow_reader_delays_no_other_caller_and_is_disconnected(self):
-        # One caller reads nothing while its engine produces megabytes. The
-        # relay must not read them all into memory, others must be served, and
-        # after the timeout the caller is cut and its engine stopped.
+        # One caller reads nothing while its engine generates megabytes. The relay must
+        # not buffer all of it in memory, other callers must be served, and after the
+        # timeout the caller must be disconnected and its run canceled.
         from agaterail import server
 
         limit, server.SEND_TIMEOUT_S = server.SEND_TIMEOUT_S, 0.3
@@ -231,8 +233,8 @@
     route = {"deadline_ms": 100}
 
     def test_a_late_answer_never_reaches_the_next_caller(self):
-        # The engine answers after the deadline. Its connection must not be
-        # used again: the late answer would be read as the next request's.
+        # The engine answers after the deadline. Its connection must not be reused,
+        # since the late answer would be read as that to the next request.
         for engine in self.engines:
             engine.faults.slow_head_ms = 200
         response, _ = self.daemon.chat(content="first")
--- a/tests/test_agaterail/test_filters/test_transfer.py
+++ b/tests/test_agaterail/test_filters/test_transfer.py
@@ -89,16 +89,16 @@
         self.assertEqual(self.handle(app, exchange(queue_ms=1000.0)), [])
 
     def test_a_failed_import_does_not_fail_the_request(self):
-        # The store is down. The request goes to the engine all the same, which
-        # computes the prefix, and the next request does not try the store.
+        # The store is down. The request is still sent to the engine, which computes the
+        # prefix, and the next request does not try the store.
         app = App(Engine(Failure("down")))
         self.handle(app, exchange())
         self.handle(app, exchange())
         self.assertEqual(len(app.engine.imported), 1)
 
     def test_a_hanging_import_times_out(self):
-        # The store accepts the call and never answers. The wait ends at twice
-        # the estimate, or the caller would get its first token too late.
+        # The store accepts the call but never answers. The wait must end at twice the
+        # estimate, otherwise the caller would get its first token too late.
         app = App(Engine(Success(2), delay_s=30.0))
         self.assertEqual(self.handle(app, exchange(transfer_ms=1.0)), [])
 
--- a/tests/test_agaterail/test_filters/test_weights.py
+++ b/tests/test_agaterail/test_filters/test_weights.py
@@ -46,9 +46,9 @@
             engine.stop()
 
     def test_older_weights_use_block_keys_of_their_own_version(self):
-        # A rollout to v2 has begun; the engine still has v1 and the row says
-        # that it may answer. Its blocks must be named by v1: under v2's keys the
-        # engine could find them after it has loaded v2.
+        # A rollout to v2 has started; the engine still has v1, which the row of the
+        # pool allows. Its blocks must have keys of v1: under keys of v2, the engine
+        # could find them after it has loaded v2.
         self.start(["v1"], weights_version="v2", also_serve=("v1",))
         for _ in range(2):
             response, body = self.daemon.chat(PROMPT)
@@ -68,8 +68,8 @@
             self.assertEqual(response["x-weights-version"], "v2")
 
     def test_an_engine_that_changes_its_weights_is_retried_with_the_new_keys(self):
-        # Engine and router agree on v1; the engine loads v2 unseen. Its first
-        # answer tells; the router drops it and asks again in the scope of v2.
+        # The engine loads v2 while the router assumes v1. Its first answer reports v2;
+        # the router discards it and retries with block keys of v2.
         self.start(["v1"], weights_version="v2", also_serve=("v1",))
         self.daemon.chat(PROMPT)
         self.engines[0].weights_version = "v2"
--- a/tests/test_agaterail/test_openai_client.py
+++ b/tests/test_agaterail/test_openai_client.py
@@ -88,16 +88,17 @@
         self.assertEqual(caught.exception.body["outcome"], "not_run")
 
     def test_a_broken_stream_raises(self):
-        # The stream loses a frame and cannot be resumed. The client must raise:
-        # a loop over chunks that just ends would pass for a whole answer.
+        # The stream loses a frame and cannot be resumed. The client must raise an
+        # exception: if the loop over its chunks simply ended, the answer would look
+        # complete.
         self.engine.faults.skip_frame = 1
         self.engine.faults.no_resume = True
         with self.assertRaises(openai.APIError):
             list(self.ask(stream=True))
 
     def test_an_unknown_outcome_is_not_sent_again_by_the_client(self):
-        # The engine may have run the request, then the answer is lost. The
-        # client resends by itself on 502; the router tells it not to.
+        # The engine may have run the request before its answer is lost. The client
+        # retries a 502 on its own; the router tells it not to.
         self.engine.faults.crossed = 1
         with self.assertRaises(openai.InternalServerError):
             self.ask(self.make_client(API_KEY, max_retries=2))
--- a/tests/test_agaterail/test_outcomes.py
+++ b/tests/test_agaterail/test_outcomes.py
@@ -31,7 +31,7 @@
 )
 
 ADDRESSES = [f"127.0.0.1:{number}" for number in range(1, 6)]
-# Behaviour of a target and whether it may have acted.
+# Behavior of a target, and whether the target may have acted on the request.
 BEHAVIORS = {
     "unreachable": False,
     "refused": False,
@@ -43,7 +43,7 @@
     "done": True,
 }
 NOT_RUN = {kind for kind, answer in ANSWERS.items() if answer.outcome is Outcome.NOT_RUN}
-# Each place that may answer "not run", and why no target can have acted there.
+# Functions that may answer "not run", and why no target can have acted by then.
 BEFORE_FORWARDING = "no target was asked: the place is reached before the forward filter"
 EXPLICIT_REFUSAL = "the target refused in the form that its protocol defines"
 NOTHING_SENT = "no connection was made, so no byte was sent"
@@ -68,12 +68,12 @@
     # Only before the first send.
     ("gateway/sender.py", "_overload"): BEFORE_FORWARDING,
 }
-# Places that name such a kind and answer nothing with it.
+# Functions that refer to such a kind without answering with it.
 NOT_ANSWERED = {("filters/retry.py", "handle"), ("filters/retry.py", "<module>")}
 
 
 class Reply(EngineReply):
-    """Engine's whole answer, held in memory."""
+    """Buffered answer of an engine."""
 
     def __init__(self, request_id, status=200, refused=False, cut=False):
         self.request_id, self.status = request_id, status
@@ -94,7 +94,7 @@
 
 
 class Target:
-    """Engine and service with a scripted behaviour and a journal."""
+    """Fake engine and service with scripted behavior and a journal."""
 
     def __init__(self, journal):
         self.journal = journal
@@ -178,9 +178,9 @@
         st.sampled_from(["chat", "POST", "GET"]),
     )
     def test_not_run_is_answered_only_if_no_target_acted(self, behaviors, kind):
-        # Each target fails in its own way, before or after acting, and the
-        # request is tried at several. "Not run" must mean that none acted, and
-        # a call that may run once must not reach a second target after one did.
+        # The targets fail in different ways, before or after acting, and the request is
+        # retried on several of them. "Not run" must mean that none acted, and an
+        # at-most-once call must not reach a second target after one may have acted.
         if kind == "chat":
             fields = {"model": MODEL, "messages": [{"role": "user", "content": "hi"}]}
             body = json.dumps(fields).encode()
@@ -218,7 +218,7 @@
 
 
 def functions_naming_not_run(tree):
-    """Yield the functions that name a kind whose outcome is 'not run'."""
+    """Yield the names of functions that refer to a kind with the outcome 'not run'."""
     for function in [tree, *ast.walk(tree)]:
         if not isinstance(function, (ast.Module, ast.FunctionDef)):
             continue
@@ -230,7 +230,7 @@
 
 
 def own_nodes(function):
-    """Yield the nodes of a function that are not in a function inside it."""
+    """Yield the nodes of a function, without those of nested functions."""
     pending = list(ast.iter_child_nodes(function))
     while pending:
         node = pending.pop()
--- a/tests/test_agaterail/test_server.py
+++ b/tests/test_agaterail/test_server.py
@@ -62,10 +62,9 @@
         self.assertTrue(body.endswith(b"data: [DONE]\n\n"))
 
     def test_a_stream_with_a_missing_frame_ends_with_an_error_event(self):
-        # An engine skips a frame and can give it neither again nor anew: both
-        # refuse to resume and the next run skips one as well. The caller must
-        # see the failure: a stream that just went on or just ended would read
-        # as a whole answer.
+        # An engine skips a frame, both engines refuse to resume, and the rerun skips a
+        # frame as well. The caller must see the failure: a stream that simply continued
+        # or ended would look like a complete answer.
         for engine in self.engines:
             engine.faults.skip_frame = 9
             engine.faults.no_resume = True
@@ -74,9 +73,9 @@
         self.assertNotIn(b"[DONE]", body)
 
     def test_an_answer_for_another_request_never_reaches_the_caller(self):
-        # Both engines answer with another request's id. The router drops the
-        # answers with their connections; since an engine may have run the
-        # request, the refusal must not say "not run" when no engine is left.
+        # Both engines answer with the id of another request. The router discards the
+        # answers and their connections. Since an engine may have run the request, the
+        # error must not say "not run" when no engine is left.
         for engine in self.engines:
             engine.faults.crossed = 1
         response, body = self.daemon.chat()
--- a/tests/test_agaterail/test_sse.py
+++ b/tests/test_agaterail/test_sse.py
@@ -32,8 +32,8 @@
         self.assertEqual(out, b"".join(sent))
 
     def test_nothing_follows_a_missing_frame(self):
-        # The engine loses frame 1. The caller gets frame 0 and then the error
-        # event of the relay, never a text with a hole in it.
+        # The engine loses frame 1. The caller gets frame 0 and then the error event of
+        # the relay, never a text with a gap.
         sent = frames(3)
         validator = FrameValidator()
         out = validator.accept(b"".join([sent[0], *sent[2:]]))
--- a/tests/test_agaterail/test_wsgi.py
+++ b/tests/test_agaterail/test_wsgi.py
@@ -35,7 +35,8 @@
         return socket.create_connection((host, int(port)), SOCKET_TIMEOUT_S)
 
     def answer_to(self, *parts):
-        # Sends what the server takes and returns the answer up to the close.
+        # Sends as much as the server accepts and returns the answer until the
+        # connection closes.
         with self.connect() as sock:
             with contextlib.suppress(ConnectionError):
                 for part in parts:
@@ -51,12 +52,13 @@
         self.assertIn(b"200 OK", answer)
 
     def test_ambiguous_request_framing_is_refused(self):
-        # A caller hides a second request in what one parser takes for a body and
-        # another does not. It gets one refusal, and the connection ends.
+        # Request smuggling: a caller hides a second request in bytes that only some
+        # parsers interpret as a body. It must get a single error, and the connection
+        # must close.
         smuggled = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
         for name, data in MALFORMED.items():
             if name == "no path":
-                continue  # a proxy's form, which this server reads as its path
+                continue  # absolute form, which this server accepts as a path
             with self.subTest(name):
                 answer = self.answer_to(data + smuggled)
                 self.assertIn(answer.split(b" ")[1:2], ([b"400"], [b"431"]))
@@ -69,8 +71,8 @@
         self.assertNotIn(b" 400 ", answer.partition(b"\r\n")[0])
 
     def test_too_many_headers_are_refused(self):
-        # A caller sends headers without an end. The router must not collect
-        # them: it answers once the bound is passed and closes.
+        # A caller sends endless headers. The router must not buffer them: it answers
+        # when the limit is exceeded, and closes the connection.
         headers = [b"X-%d: y\r\n" % number for number in range(1000)]
         self.assertIn(b" 431 ", self.answer_to(b"GET / HTTP/1.1\r\n", *headers))
         many_headers = [b"A:\r\n"] * 101
@@ -83,8 +85,8 @@
         self.assert_serves()
 
     def test_slow_headers_time_out(self):
-        # A caller sends a byte now and then. Each one arrives in time, the
-        # whole head never does; the connection must not be held for good.
+        # A caller sends a byte now and then (Slowloris). Each byte arrives in time but
+        # the head never completes; the connection must not stay open forever.
         with self.connect() as sock:
             sock.sendall(b"GET / HTTP/1.1\r\nX: ")
             sender = gevent.spawn(self.send_slowly, sock)
