--- a/agaterail/application.py
+++ b/agaterail/application.py
@@ -206,7 +206,7 @@
         return exchange, result
 
     def policy_of(self, pool: Pool) -> Policy:
-        """Return the policy of a pool, or the default policy if it is unknown."""
+        """Return the policy that a pool names, or the default if that is unknown."""
         return self.policies.get(pool.policy) or self.policies[DEFAULT_POLICY]
 
     def engine_at(self, address: str) -> Engine:
--- a/agaterail/framing.py
+++ b/agaterail/framing.py
@@ -56,6 +56,6 @@
         try:
             self.check.feed(data)
         except FramingError as error:
-            # Callers treat this like any body that cannot be read to its end.
+            # The server handles this like any body that cannot be read to its end.
             raise OSError(str(error)) from error
         return data
--- a/tests/test_agaterail/test_outcomes.py
+++ b/tests/test_agaterail/test_outcomes.py
@@ -44,8 +44,8 @@
 }
 NOT_RUN = {kind for kind, answer in ANSWERS.items() if answer.outcome is Outcome.NOT_RUN}
 # Functions that may answer "not run", and why no target can have acted by then.
-BEFORE_FORWARDING = "no target was asked: the place is reached before the forward filter"
-EXPLICIT_REFUSAL = "the target refused in the form that its protocol defines"
+BEFORE_FORWARDING = "no target was contacted: the function runs before the forward filter"
+EXPLICIT_REFUSAL = "the target refused explicitly, as its protocol defines"
 NOTHING_SENT = "no connection was made, so no byte was sent"
 NOT_RUN_SOURCES = {
     ("filters/claim.py", "handle"): BEFORE_FORWARDING,
