--- a/agaterail/filters/transfer.py
+++ b/agaterail/filters/transfer.py
@@ -57,7 +57,8 @@
         assert exchange.prefix is not None and exchange.decision is not None
         keys = exchange.prefix.keys[transfer.start : transfer.end]
         importing = gevent.spawn(self._import_blocks, engine, keys, transfer)
-        # The import continues while the request waits in the engine's queue.
+        # The import continues while the request waits in the engine's queue, so that
+        # time is subtracted.
         queue_ms = max(0.0, exchange.decision.queue_ms)
         wait_ms = transfer.transfer_ms * IMPORT_WAIT_FACTOR - queue_ms
         importing.join(timeout=max(0.0, wait_ms) / 1e3)
--- a/agaterail/sse.py
+++ b/agaterail/sse.py
@@ -59,7 +59,8 @@
         stream with a gap.
         """
         whole, separator, self.partial = (self.partial + data).rpartition(SEPARATOR)
-        # Otherwise an unterminated frame would be buffered without limit.
+        # Without this limit, an unterminated frame would be buffered for as long as it
+        # grows.
         self.broken = self.broken or len(self.partial) > MAX_FRAME_BYTES
         if not separator:
             return b""
