--- a/agaterail/metrics.py
+++ b/agaterail/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timings, sent by statsd."""
+"""Counters, gauges and timings, sent to statsd."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import attrs
 import statsd
 
-from agaterail.errors import ErrorKind, Outcome, Waste
+from agaterail.errors import ErrorKind, Outcome, WasteReason
 from agaterail.fold import Verdict
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
 
 
 class MetricKind(enum.Enum):
-    """How statsd treats a metric."""
+    """Type of a statsd metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -33,9 +33,9 @@
     Attributes
     ----------
     name
-        Name without the prefix; ``{}`` stands for a member's value.
+        Name without the prefix; ``{}`` is a placeholder for the value of a member.
     members
-        Enumeration whose values ``{}`` stands for.
+        Enumeration whose values replace ``{}``.
     """
 
     name: str
@@ -45,7 +45,7 @@
     members: type[enum.Enum] | None = None
 
     def names(self) -> list[str]:
-        """Return the names with each member filled in."""
+        """Return the complete names, one for each member."""
         if self.members is None:
             return [self.name]
         return [self.name.format(member.value) for member in self.members]
@@ -57,7 +57,9 @@
     Metric("requests.{}", _COUNTER, "requests", "Requests by what became of them.", Outcome),
     Metric("errors.{}", _COUNTER, "requests", "Requests that got an error.", ErrorKind),
     Metric("attempts", _COUNTER, "attempts", "Targets asked, retries included."),
-    Metric("wasted.{}", _COUNTER, "runs", "Runs at engines of no use to a caller.", Waste),
+    Metric(
+        "wasted.{}", _COUNTER, "runs", "Runs at engines of no use to a caller.", WasteReason
+    ),
     Metric("wasted_events", _COUNTER, "events", "Token events of such runs."),
     Metric("cancels", _COUNTER, "runs", "Runs that engines were told to stop."),
     Metric("cancels_failed", _COUNTER, "runs", "Of these, without an answer."),
@@ -100,7 +102,7 @@
 
 
 class StatsdMetrics(Metrics):
-    """Metrics sent to a statsd server by UDP."""
+    """Metrics sent to a statsd server over UDP."""
 
     def __init__(self, address: Address) -> None:
         self.client = statsd.StatsClient(address.host, address.port, prefix=PREFIX)
@@ -119,7 +121,7 @@
 
 
 class MemoryMetrics(Metrics):
-    """Metrics kept in memory, for tests and for daemons without a server."""
+    """Metrics kept in memory, for tests and for daemons without a statsd server."""
 
     def __init__(self) -> None:
         self.counters: dict[str, int] = {}
--- a/agaterail/server.py
+++ b/agaterail/server.py
@@ -27,13 +27,13 @@
 logger = logs.get_logger("server")
 
 NOT_READY = 503
-ERROR_STATUS_FROM = 400
+MIN_ERROR_STATUS = 400
 SEND_TIMEOUT_S = 30.0
 SEND_BUFFER_BYTES = 128 * 1024
 
 
 class CallerResource:
-    """Passes every request that is not the router's own to the filters."""
+    """Passes every request that no other resource handles to the filters."""
 
     def __init__(self, app: Application) -> None:
         self.app = app
@@ -60,7 +60,7 @@
             if isinstance(reply.body, bytes):
                 watch.stop()
             else:
-                _guard_stream(exchange, sock, watch)
+                _limit_stream_writes(exchange, sock, watch)
             _send_reply(response, exchange, reply)
             return
         watch.stop()
@@ -81,10 +81,10 @@
         length = request.content_length
         if length is not None and length > limit:
             return errors.Failure(ErrorKind.BODY_TOO_LARGE)
-        # A body that trickles in would hold its part in memory for good.
+        # A body that arrives slowly would otherwise hold its memory indefinitely.
         with gevent.Timeout(self.app.settings.body_timeout_s) as timer:
             try:
-                body = _stream_of(request).read(limit + 1)
+                body = _body_stream(request).read(limit + 1)
             except OSError:
                 return errors.Failure(ErrorKind.BAD_REQUEST, "The body could not be read.")
             except gevent.Timeout as timeout:
@@ -98,54 +98,54 @@
         return body
 
 
-def _stream_of(request: falcon.Request) -> Any:
+def _body_stream(request: falcon.Request) -> Any:
     chunked = request.content_length is None
     return request.stream if chunked else request.bounded_stream
 
 
 class HealthResource:
-    """Answers while the process runs."""
+    """Liveness probe; succeeds while the process runs."""
 
     def on_get(self, _request: falcon.Request, response: falcon.Response) -> None:
-        """Answer always."""
+        """Report success."""
         response.text = "ok\n"
 
 
 class ReadyResource:
-    """Tells the balancer whether to send new connections."""
+    """Readiness probe for the load balancer."""
 
     def __init__(self, app: Application) -> None:
         self.app = app
 
     def on_get(self, _request: falcon.Request, response: falcon.Response) -> None:
-        """Fail before tables are loaded and once a drain began."""
+        """Fail until tables are loaded and after a drain has started."""
         if not self.app.ready:
             response.status = NOT_READY
         response.text = "ready\n" if self.app.ready else "not ready\n"
 
 
 class ModelsResource:
-    """Lists the models that the caller's routes serve, in the OpenAI form."""
+    """Lists the models that the caller's routes serve, in the OpenAI format."""
 
     def __init__(self, app: Application) -> None:
         self.app = app
         self.index = CallerIndex()
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer all models."""
-        names = self._names(request)
+        """Return all models."""
+        names = self._model_names(request)
         if not names:
             _send_failure(response, self._refusal(names), "")
             return
-        response.media = {"object": "list", "data": [_model(name) for name in names]}
+        response.media = {"object": "list", "data": [_model_object(name) for name in names]}
 
     def on_get_one(
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
-        """Answer one model."""
-        names = self._names(request)
+        """Return one model."""
+        names = self._model_names(request)
         if name in names:
-            response.media = _model(name)
+            response.media = _model_object(name)
             return
         _send_failure(response, self._refusal(names), "")
 
@@ -154,17 +154,17 @@
             return errors.Failure(ErrorKind.TABLES_UNAVAILABLE)
         return errors.Failure(ErrorKind.NO_ROUTE if names else ErrorKind.UNAUTHENTICATED)
 
-    def _names(self, request: falcon.Request) -> list[str]:
+    def _model_names(self, request: falcon.Request) -> list[str]:
         caller = caller_of(request.auth or "")
         routes = self.index.routes_of(self.app.tables, caller)
         return sorted({model for route in routes for model in route.models})
 
 
-def _model(name: str) -> dict[str, str | int]:
+def _model_object(name: str) -> dict[str, str | int]:
     return {"id": name, "object": "model", "created": 0, "owned_by": "agaterail"}
 
 
-def make_wsgi(app: Application) -> falcon.App:
+def make_wsgi_app(app: Application) -> falcon.App:
     """Return the WSGI application for callers."""
     wsgi = falcon.App()
     wsgi.add_route("/healthz", HealthResource())
@@ -185,12 +185,13 @@
     OSError
         If the address cannot be bound.
     """
-    return BoundedServer(address, make_wsgi(app), app.settings)
+    return BoundedServer(address, make_wsgi_app(app), app.settings)
 
 
-def _guard_stream(exchange: Exchange, sock: Any, watch: CallerWatch) -> None:
-    # A reader that takes nothing for so long is cut; until then its engine's
-    # stream waits in the kernel's bounded buffers and no other is touched.
+def _limit_stream_writes(exchange: Exchange, sock: Any, watch: CallerWatch) -> None:
+    # A caller that reads nothing for SEND_TIMEOUT_S is disconnected. Until then, the
+    # stream of its engine waits in the kernel's bounded buffers and no other stream is
+    # affected.
     sock.setsockopt(SOL_SOCKET, SO_SNDBUF, SEND_BUFFER_BYTES)
     sock.settimeout(SEND_TIMEOUT_S)
 
@@ -212,7 +213,7 @@
         response.set_header("x-agaterail-reason", exchange.decision.reason)
     if isinstance(reply.body, bytes):
         response.data = reply.body
-        failed = reply.status >= ERROR_STATUS_FROM
+        failed = reply.status >= MIN_ERROR_STATUS
         exchange.finish(Outcome.FAILED_AT_TARGET if failed else Outcome.COMPLETED)
         return
     response.stream = reply.body
@@ -224,8 +225,8 @@
     response.set_header("x-agaterail-outcome", failure.outcome.value)
     if request_id:
         response.set_header("x-request-id", request_id)
-    # Stock OpenAI clients send a failed request again by themselves; with an
-    # unknown outcome they would do so without the caller's knowledge.
+    # OpenAI clients retry failed requests on their own. Without this header they would
+    # also retry requests with an unknown outcome, unnoticed by the caller.
     retry = failure.retry_hint_s is not None
     response.set_header("x-should-retry", "true" if retry else "false")
     if failure.retry_hint_s is not None:
@@ -240,5 +241,5 @@
         response.status = error.status
         response.data = json.dumps(error.to_dict()).encode()
         return
-    logger.error("Request raised.", exc_info=error)
+    logger.error("Unhandled exception in a request.", exc_info=error)
     _send_failure(response, errors.Failure(ErrorKind.INTERNAL), "")
