--- a/agaterail/cmd/gateway.py
+++ b/agaterail/cmd/gateway.py
@@ -15,7 +15,7 @@
 from agaterail import logs
 from agaterail.gateway.daemon import Daemon, boottime_s
 from agaterail.gateway.gracefulstop import GracefulStop
-from agaterail.gateway.logbudget import HostField, LogBudget
+from agaterail.gateway.logratelimit import HostField, LogRateLimiter
 from agaterail.gateway.logsink import LogSink
 from agaterail.gateway.metrics import start_metrics
 from agaterail.gateway.startuptimer import StartupTimer
@@ -28,8 +28,8 @@
 
 EXIT_USAGE = 2
 METRICS_VARIABLE = "AGATERAIL_METRICS"  # PORT/PATH, as in the deploy file
-METRICS_FORM = re.compile(r"\d{1,5}/[\w/.-]*")
-STANDARD_OUTPUT = 1
+METRICS_PATTERN = re.compile(r"\d{1,5}/[\w/.-]*")
+STDOUT_FD = 1
 
 logger = logs.get_logger("main")
 
@@ -46,8 +46,8 @@
     processor_at
         Processor time of the process at that moment, in seconds.
     """
-    began = boottime_s() if started_at is None else started_at
-    startup_timer = StartupTimer(began, processor_at, boottime_s)
+    start_time = boottime_s() if started_at is None else started_at
+    startup_timer = StartupTimer(start_time, processor_at, boottime_s)
     path = settings_file or os.environ.get(names.SETTINGS_VARIABLE, "")
     if not path:
         print(
@@ -56,30 +56,30 @@
         )
         return EXIT_USAGE
     metrics = os.environ.get(METRICS_VARIABLE, "")
-    if metrics and not METRICS_FORM.fullmatch(metrics):
+    if metrics and not METRICS_PATTERN.fullmatch(metrics):
         print(f"{METRICS_VARIABLE}: {metrics!r} is not PORT/PATH.", file=sys.stderr)
         return EXIT_USAGE
     loaded = read_settings(path)
     if not isinstance(loaded, Success):
         print(loaded.failure(), file=sys.stderr)
         return EXIT_USAGE
-    chosen = loaded.unwrap()
-    sink = LogSink(STANDARD_OUTPUT)
+    settings = loaded.unwrap()
+    sink = LogSink(STDOUT_FD)
     logs.configure(
         "info",
         json_lines=True,
         stream=sink,
-        processors=[HostField(chosen.host), LogBudget(boottime_s)],
+        processors=[HostField(settings.host), LogRateLimiter(boottime_s)],
     )
     startup_timer.log_stage("Settings read.")
-    store = PlatformStore(chosen.store.address, chosen.store.parts)
+    store = PlatformStore(settings.store.address, settings.store.parts)
     try:
-        daemon = Daemon(chosen, store, PlatformEngines(), PlatformCacheFeed())
+        daemon = Daemon(settings, store, PlatformEngines(), PlatformCacheFeed())
     except OSError as error:
-        print(f"{chosen.caller_listen} cannot be bound: {error}", file=sys.stderr)
+        print(f"{settings.caller_listen} cannot be bound: {error}", file=sys.stderr)
         return EXIT_USAGE
     startup_timer.log_stage("Listening.")
-    daemon.log_lines_dropped = lambda: sink.dropped_in_all
+    daemon.log_lines_dropped = lambda: sink.dropped_total
     stopping = gevent.event.Event()
     gevent.signal_handler(signal.SIGTERM, stopping.set)
     gevent.signal_handler(signal.SIGINT, stopping.set)
@@ -87,13 +87,13 @@
     # What the start has made stays for good; the collector need not look at it.
     gc.freeze()
     startup_timer.log_stage(
-        "Started.", host=chosen.host, boot=daemon.boot, domain=chosen.domain
+        "Started.", host=settings.host, boot=daemon.boot, domain=settings.domain
     )
     daemon.start()
     gevent.spawn(startup_timer.await_ready, daemon)
     if metrics:
         port, _, path = metrics.partition("/")
-        start_metrics(daemon, Address(chosen.ip, int(port)), b"/" + path.encode())
+        start_metrics(daemon, Address(settings.ip, int(port)), b"/" + path.encode())
     stopping.wait()
     GracefulStop(daemon).run()
     return 0
--- a/agaterail/cmd/losses.py
+++ b/agaterail/cmd/losses.py
@@ -8,18 +8,18 @@
 
 from agaterail.cmd.story import read_logs
 from agaterail.losses import find_losses
-from agaterail.story import parse
+from agaterail.requesttrace import parse_log_lines
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from agaterail.losses import Loss
+    from agaterail.losses import LossGroup
 
 USAGE_ERROR = 2
-MOST_SLOTS = 5
+MAX_SLOTS = 5
 
 
-def tell(paths: Sequence[str], slot_s: int) -> int:
+def print_losses(paths: Sequence[str], slot_s: int) -> int:
     """Print the losses in logs, the largest group first; returns the exit status."""
     if slot_s < 1:
         print("--slot: at least one second.", file=sys.stderr)
@@ -27,15 +27,15 @@
     texts = read_logs(paths)
     if texts is None:
         return USAGE_ERROR
-    for loss in find_losses(parse(texts), slot_s):
+    for loss in find_losses(parse_log_lines(texts), slot_s):
         print(f"{loss.count:6} {loss.cause.value:36} route={loss.route}", end="")
         print(f" e.g. {' '.join(loss.examples)}")
-        print(f"       {_worst_slots(loss)}")
+        print(f"       {_peak_slots(loss)}")
     return 0
 
 
-def _worst_slots(loss: Loss) -> str:
-    worst = sorted(loss.by_slot.items(), key=lambda item: -item[1])[:MOST_SLOTS]
+def _peak_slots(loss: LossGroup) -> str:
+    worst = sorted(loss.by_slot.items(), key=lambda item: -item[1])[:MAX_SLOTS]
     return ", ".join(f"{_clock(slot)} {count}" for slot, count in sorted(worst))
 
 
--- a/agaterail/cmd/main.py
+++ b/agaterail/cmd/main.py
@@ -91,13 +91,13 @@
         around
             Seconds before the request whose changes of belief are shown.
         """
-        from agaterail.cmd.story import tell
+        from agaterail.cmd.story import print_trace
 
         try:
             seconds = float(around)
         except ValueError:
             return _complain(f"--around: {around!r} is no number of seconds.")
-        return tell(request_id, paths, seconds)
+        return print_trace(request_id, paths, seconds)
 
     def losses(self, *paths: str, slot: str = "2") -> int:
         """Group the requests that got no whole answer in time by cause and route.
@@ -110,11 +110,11 @@
         slot
             Length of a span of time in whole seconds.
         """
-        from agaterail.cmd.losses import tell
+        from agaterail.cmd.losses import print_losses
 
         if not slot.isdigit():
             return _complain(f"--slot: {slot!r} is no whole number of seconds.")
-        return tell(paths, int(slot))
+        return print_losses(paths, int(slot))
 
     def check(self, *paths: str) -> int:
         """Check table files (TOML) by themselves; the log is not asked.
--- a/agaterail/cmd/story.py
+++ b/agaterail/cmd/story.py
@@ -6,7 +6,7 @@
 import sys
 from typing import TYPE_CHECKING
 
-from agaterail.story import parse, story
+from agaterail.requesttrace import parse_log_lines, trace_request
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -15,7 +15,7 @@
 USAGE_ERROR = 2
 
 
-def tell(request_id: str, paths: Sequence[str], around_s: float) -> int:
+def print_trace(request_id: str, paths: Sequence[str], around_s: float) -> int:
     """Print a request's story; returns the exit status."""
     if not request_id:
         print("Name a request id.", file=sys.stderr)
@@ -23,7 +23,7 @@
     texts = read_logs(paths)
     if texts is None:
         return USAGE_ERROR
-    found = story(parse(texts), request_id, around_s)
+    found = trace_request(parse_log_lines(texts), request_id, around_s)
     if not found:
         print(f"No line names the request {request_id}.", file=sys.stderr)
         return NOT_FOUND
--- a/agaterail/gateway/attempt.py
+++ b/agaterail/gateway/attempt.py
@@ -7,17 +7,17 @@
 from agaterail.gateway.desired import RequestKind
 
 if TYPE_CHECKING:
-    from agaterail.gateway.channel import Channel
     from agaterail.gateway.daemon import Daemon
-    from agaterail.gateway.eventstream import EventCutter
+    from agaterail.gateway.eventstream import EventSplitter
     from agaterail.gateway.inbound import AnswerHead
-    from agaterail.gateway.job import Job
     from agaterail.gateway.placement import Choice
+    from agaterail.gateway.requestcontext import RequestContext
     from agaterail.gateway.shedding import Waiting
+    from agaterail.gateway.targetconnection import TargetConnection
 
 OK_STATUSES = range(200, 300)
 # Reading what has arrived already.
-TAKE_IN_S = 0.005
+POLL_TIMEOUT_S = 0.005
 
 
 class Attempt:
@@ -27,27 +27,33 @@
     ----------
     head
         Head of the answer; None before it came.
-    pieces
+    body_parts
         What was read of an answer that is passed on whole.
-    unread
+    buffered
         Bytes of a stream that were taken in and not read yet.
     has_events
         An event of the stream was passed on.
-    event_at
+    last_event_at
         Time of the newest event.
     """
 
-    def __init__(self, daemon: Daemon, job: Job, choice: Choice, channel: Channel) -> None:
+    def __init__(
+        self,
+        daemon: Daemon,
+        context: RequestContext,
+        choice: Choice,
+        connection: TargetConnection,
+    ) -> None:
         self.daemon = daemon
-        self.job = job
+        self.context = context
         self.choice = choice
         self.target = choice.target
-        self.channel = channel
+        self.connection = connection
         self.head: AnswerHead | None = None
-        self.pieces: list[bytes] = []
-        self.unread = b""
+        self.body_parts: list[bytes] = []
+        self.buffered = b""
         self.has_events = False
-        self.event_at = 0.0
+        self.last_event_at = 0.0
         self.is_open = True
         self.waiting: Waiting | None = None
         self.target.in_flight += 1
@@ -62,9 +68,9 @@
     def is_stream(self) -> bool:
         """Tell whether the target answers with events."""
         head = self.head
-        if head is None or self.job.route.kind is not RequestKind.STREAM:
+        if head is None or self.context.route.kind is not RequestKind.STREAM:
             return False
-        return head.signed and head.status in OK_STATUSES
+        return head.has_server_stamp and head.status in OK_STATUSES
 
     def read_head(self, deadline: float) -> AnswerHead:
         """Wait for the head of the answer, if it was not read yet.
@@ -77,8 +83,8 @@
             If the connection broke or what came is no answer.
         """
         if self.head is None:
-            self.head = self.channel.read_head(self.job.inbound.request_id, deadline)
-            self._note_weights(self.head)
+            self.head = self.connection.read_head(self.context.inbound.request_id, deadline)
+            self._record_weights(self.head)
         return self.head
 
     def read_rest(self, deadline: float) -> bytes:
@@ -91,9 +97,9 @@
         OSError
             If the body was cut short.
         """
-        while piece := self.channel.read_body(deadline):
-            self.pieces.append(piece)
-        return b"".join(self.pieces)
+        while data := self.connection.read_body(deadline):
+            self.body_parts.append(data)
+        return b"".join(self.body_parts)
 
     def read_body(self, deadline: float) -> bytes:
         """Return the next bytes of a stream, or nothing at its end.
@@ -105,10 +111,10 @@
         OSError
             If the stream was cut short.
         """
-        unread, self.unread = self.unread, b""
-        return unread or self.channel.read_body(deadline)
+        buffered, self.buffered = self.buffered, b""
+        return buffered or self.connection.read_body(deadline)
 
-    def take_in(self, cutter: EventCutter) -> bool:
+    def poll_events(self, splitter: EventSplitter) -> bool:
         """Take in what has come of a stream; tells whether a whole event or its end has.
 
         Raises
@@ -117,39 +123,41 @@
             If the stream was cut short.
         """
         try:
-            data = self.channel.read_body(self.daemon.now() + TAKE_IN_S)
+            data = self.connection.read_body(self.daemon.now() + POLL_TIMEOUT_S)
         except TimeoutError:
             return False
-        self.unread += data
-        return not data or cutter.ends_event(self.unread)
+        self.buffered += data
+        return not data or splitter.completes_event(self.buffered)
 
-    def note_events(self, count: int) -> None:
+    def record_events(self, count: int) -> None:
         """Take in that events were passed on."""
         now = self.daemon.now()
         if self.has_events:
-            self.daemon.shedder_of(self.job.service).pace.note(now - self.event_at, count, now)
+            self.daemon.shedder_of(self.context.service).pace.note(
+                now - self.last_event_at, count, now
+            )
         else:
             self.has_events = True
             self._end_prefill(first_token=True)
-        self.event_at = now
+        self.last_event_at = now
 
-    def finish(self, sound: bool = True) -> None:
+    def finish(self, healthy: bool = True) -> None:
         """Keep the channel, as the answer was read whole.
 
         Parameters
         ----------
-        sound
+        healthy
             The answer shows that the target is well.
         """
         if self._end():
-            if sound:
+            if healthy:
                 self.target.note_success()
-            self.daemon.channels.give_back(self.target, self.channel)
+            self.daemon.channels.release(self.target, self.connection)
 
     def abandon(self) -> None:
         """Close the channel at once, so that the target stops working."""
         if self._end():
-            self.channel.close()
+            self.connection.close()
 
     def _end(self) -> bool:
         was_open, self.is_open = self.is_open, False
@@ -159,19 +167,19 @@
         return was_open
 
     def _begin_prefill(self) -> None:
-        job = self.job
-        if job.route.prompted:
-            shedder = self.daemon.shedder_of(job.service)
-            self.waiting = shedder.begin(job.route.objective_s, self.daemon.now())
-            self.target.prefill_tokens += job.inbound.prompt_tokens
+        context = self.context
+        if context.route.prompted:
+            shedder = self.daemon.shedder_of(context.service)
+            self.waiting = shedder.begin(context.route.objective_s, self.daemon.now())
+            self.target.prefill_tokens += context.inbound.prompt_tokens
 
     def _end_prefill(self, first_token: bool = False) -> None:
         waiting, self.waiting = self.waiting, None
         if waiting is not None:
-            shedder = self.daemon.shedder_of(self.job.service)
+            shedder = self.daemon.shedder_of(self.context.service)
             shedder.end(waiting, self.daemon.now(), first_token)
-            self.target.prefill_tokens -= self.job.inbound.prompt_tokens
+            self.target.prefill_tokens -= self.context.inbound.prompt_tokens
 
-    def _note_weights(self, head: AnswerHead) -> None:
+    def _record_weights(self, head: AnswerHead) -> None:
         if head.weights_version is not None and (head.not_run or self.is_stream):
-            self.target.note_weights(self.job.inbound.model, head.weights_version)
+            self.target.note_weights(self.context.inbound.model, head.weights_version)
--- a/agaterail/gateway/cacheterms.py
+++ b/agaterail/gateway/cacheterms.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from agaterail.gateway.inbound import part_key
+from agaterail.gateway.inbound import normalize_part_name
 from agaterail.gateway.keptparts import SaveQuestion
 from agaterail.gateway.placement import choose_by_hash
 
@@ -14,8 +14,8 @@
     from collections.abc import Callable, Sequence
 
     from agaterail.gateway.desired import KvStoreSpec
-    from agaterail.gateway.job import Job
     from agaterail.gateway.placement import Choice
+    from agaterail.gateway.requestcontext import RequestContext
 
 LEAST_URGENT = 9
 
@@ -45,7 +45,7 @@
 
 
 def cache_terms(
-    job: Job,
+    context: RequestContext,
     choice: Choice,
     stores: Sequence[KvStoreSpec],
     should_save: Callable[[SaveQuestion], bool],
@@ -55,13 +55,15 @@
     A prompt's deepest shared part names the store that keeps it, so that all daemons
     look in the same one.
     """
-    if not job.route.prompted:
+    if not context.route.prompted:
         return CacheTerms()
     version = choice.weights_version
     terms = CacheTerms(
-        cache_scope=_scope(job, version), weights_version=version, priority=_priority(job)
+        cache_scope=_scope(context, version),
+        weights_version=version,
+        priority=_priority(context),
     )
-    shared = [part_key(part.name) for part in job.inbound.shared_parts]
+    shared = [normalize_part_name(part.name) for part in context.inbound.shared_parts]
     if not stores or not shared or version is None:
         return terms
     store = choose_by_hash(shared[-1], [spec.address for spec in stores])
@@ -71,14 +73,14 @@
     )
 
 
-def _scope(job: Job, version: int | None) -> str:
+def _scope(context: RequestContext, version: int | None) -> str:
     scope = "" if version is None else f"v{version}"
-    if job.workspace is not None and job.workspace.isolated:
-        scope += f".{job.workspace.name}"
+    if context.workspace is not None and context.workspace.isolated:
+        scope += f".{context.workspace.name}"
     return scope
 
 
-def _priority(job: Job) -> int:
-    own = job.route.priority if job.workspace is None else job.workspace.priority
-    priority = job.route.priority if own is None else own
+def _priority(context: RequestContext) -> int:
+    own = context.route.priority if context.workspace is None else context.workspace.priority
+    priority = context.route.priority if own is None else own
     return max(0, min(LEAST_URGENT, priority))
--- a/agaterail/gateway/daemon.py
+++ b/agaterail/gateway/daemon.py
@@ -13,13 +13,13 @@
 
 from agaterail import logs
 from agaterail.gateway import admission, cacheterms, keptcontroller, placement
-from agaterail.gateway.channels import ChannelPool
+from agaterail.gateway.connectionpool import ConnectionPool
 from agaterail.gateway.demand import Demand
 from agaterail.gateway.desired import CallerLimits
 from agaterail.gateway.feedhub import FeedHub
 from agaterail.gateway.freshness import Freshness
-from agaterail.gateway.front import Front
 from agaterail.gateway.handler import RequestHandler
+from agaterail.gateway.httpserver import HttpServer
 from agaterail.gateway.keptcontroller import KeptController
 from agaterail.gateway.membership import MembershipController
 from agaterail.gateway.metrics import GatewayMetrics
@@ -37,11 +37,11 @@
     from collections.abc import Callable
 
     from agaterail.gateway.cacheterms import CacheTerms
+    from agaterail.gateway.context import RequestContext
     from agaterail.gateway.controlstore import ControlStore
     from agaterail.gateway.desired import KvStoreSpec
     from agaterail.gateway.enginecontrol import EngineControl
     from agaterail.gateway.hostsettings import HostSettings
-    from agaterail.gateway.job import Job
     from agaterail.gateway.keptparts import CacheFeed
     from agaterail.gateway.placement import Choice
     from agaterail.timers import Subscription
@@ -87,7 +87,7 @@
         self.budget = RetryBudget(bounds.retries)
         self.demand = Demand()
         self.shedders: dict[str, Shedder] = {}
-        self.channels = ChannelPool(requests.decode_answer_head, self.now)
+        self.channels = ConnectionPool(requests.decode_answer_head, self.now)
         self.book.on_gone = self.channels.drop
         self.rules = PlacementRules(domain=settings.domain, version_s=bounds.version_s)
         self.encode = requests.encode_attempt
@@ -111,7 +111,7 @@
         self.greenlets = Group()
         self.subscriptions: list[Subscription] = []
         handler = RequestHandler(self)
-        self.front = Front(settings.caller_listen, handler.handle, self._limits, self.now)
+        self.front = HttpServer(settings.caller_listen, handler.handle, self._limits, self.now)
 
     @property
     def ready(self) -> bool:
@@ -159,20 +159,20 @@
         """Set the number of daemons that share the targets."""
         self.rules = attrs.evolve(self.rules, daemons=daemons)
 
-    def choose(self, job: Job, now: float) -> Choice | None:
+    def choose(self, context: RequestContext, now: float) -> Choice | None:
         """Return the next target for a request."""
-        targets = self.book.of_service(job.service)
-        tried = job.attempts.tried
-        if not job.route.prompted:
+        targets = self.book.of_service(context.service)
+        tried = context.retry_state.tried
+        if not context.route.prompted:
             return placement.choose_plain(targets, tried, self.rules, now)
-        named = self.state.weights.get(job.inbound.model)
-        return placement.choose_engine(job.inbound, targets, tried, self.rules, named, now)
+        named = self.state.weights.get(context.inbound.model)
+        return placement.choose_engine(context.inbound, targets, tried, self.rules, named, now)
 
-    def expected_wait_s(self, job: Job, choice: Choice) -> float:
+    def expected_wait_s(self, context: RequestContext, choice: Choice) -> float:
         """Return the expected wait for a first token at the chosen target."""
-        if not job.route.prompted:
+        if not context.route.prompted:
             return 0.0
-        engines = self.book.of_service(job.service)
+        engines = self.book.of_service(context.service)
         return admission.expected_wait_s(choice.target, engines, self.rules.daemons)
 
     def shedder_of(self, service: str) -> Shedder:
@@ -181,9 +181,11 @@
             self.shedders[service] = Shedder(service, self.now())
         return self.shedders[service]
 
-    def cache_terms(self, job: Job, choice: Choice) -> CacheTerms:
+    def cache_terms(self, context: RequestContext, choice: Choice) -> CacheTerms:
         """Return the cache instructions for the engine; may query a peer."""
-        return cacheterms.cache_terms(job, choice, self._kv_stores(), self.kept.should_save)
+        return cacheterms.cache_terms(
+            context, choice, self._kv_stores(), self.kept.should_save
+        )
 
     def _kv_stores(self) -> tuple[KvStoreSpec, ...]:
         desired = self.state.desired
--- a/agaterail/gateway/eventstream.py
+++ b/agaterail/gateway/eventstream.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define
-class EventCutter:
+class EventSplitter:
     """Cuts a target's bytes into whole events and drops those sent before.
 
     Only whole events are passed on: a target may end in the middle of one, and
@@ -21,38 +21,38 @@
     ----------
     last_id
         Id of the last event that was passed on; None before the first.
-    rest
+    partial
         Bytes of an event that has not ended yet.
     broken
         An event has no usable id, or is too long; nothing more is passed on.
     """
 
     last_id: int | None = None
-    rest: bytes = b""
+    partial: bytes = b""
     broken: bool = False
-    passed: int = 0
+    event_count: int = 0
 
     def feed(self, data: bytes) -> bytes:
         """Return the new whole events in the data."""
-        buffered = self.rest + data
+        buffered = self.partial + data
         end = _last_boundary(buffered)
         if end == 0:
-            self.rest = buffered
+            self.partial = buffered
             self.broken = self.broken or len(buffered) > MAX_EVENT_BYTES
             return b""
-        self.rest = buffered[end:]
+        self.partial = buffered[end:]
         if self.broken:
             return b""
-        fresh = [event for event in _events(buffered[:end]) if self._is_new(event)]
-        return b"".join(fresh)
+        new_events = [event for event in _events(buffered[:end]) if self._is_new(event)]
+        return b"".join(new_events)
 
-    def ends_event(self, data: bytes) -> bool:
+    def completes_event(self, data: bytes) -> bool:
         """Tell whether an event ends in the data, were it fed now."""
-        return _last_boundary(self.rest + data) > 0
+        return _last_boundary(self.partial + data) > 0
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Forget the event that the former run left unfinished."""
-        self.rest = b""
+        self.partial = b""
 
     def _is_new(self, event: bytes) -> bool:
         if self.broken:
@@ -64,26 +64,26 @@
         if self.last_id is not None and number <= self.last_id:
             return False
         self.last_id = number
-        self.passed += 1
+        self.event_count += 1
         return True
 
 
 def _last_boundary(data: bytes) -> int:
-    plain = data.rfind(b"\n\n")
+    lf = data.rfind(b"\n\n")
     crlf = data.rfind(b"\r\n\r\n")
-    return max(plain + 2 if plain >= 0 else 0, crlf + 4 if crlf >= 0 else 0)
+    return max(lf + 2 if lf >= 0 else 0, crlf + 4 if crlf >= 0 else 0)
 
 
 def _events(data: bytes) -> list[bytes]:
     events = []
     start = 0
     while start < len(data):
-        plain = data.find(b"\n\n", start)
+        lf = data.find(b"\n\n", start)
         crlf = data.find(b"\r\n\r\n", start)
         ends = [
-            place
-            for place in (plain + 2 if plain >= 0 else 0, crlf + 4 if crlf >= 0 else 0)
-            if place
+            position
+            for position in (lf + 2 if lf >= 0 else 0, crlf + 4 if crlf >= 0 else 0)
+            if position
         ]
         end = min(ends, default=len(data))
         events.append(data[start:end])
--- a/agaterail/gateway/feedhub.py
+++ b/agaterail/gateway/feedhub.py
@@ -13,7 +13,7 @@
 from agaterail.gateway.peerresponder import PeerResponder
 from agaterail.gateway.relay import Relay
 from agaterail.util.address import Address
-from agaterail.util.greenlets import repeat
+from agaterail.util.greenlets import run_forever
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -69,7 +69,11 @@
         steps = [DirectFollower(self, feed).step for feed in Feed]
         for step in (*steps, self.poller.step):
             self.daemon.greenlets.spawn(
-                repeat, step, logger, "Following a feed failed unexpectedly.", MAX_BACKOFF_S
+                run_forever,
+                step,
+                logger,
+                "Following a feed failed unexpectedly.",
+                MAX_BACKOFF_S,
             )
 
     @property
--- a/agaterail/gateway/forwarder.py
+++ b/agaterail/gateway/forwarder.py
@@ -7,27 +7,27 @@
 import attrs
 
 from agaterail.errors import Failure
-from agaterail.gateway.attempts import LEAST_TIME_S, AttemptOutcome
-from agaterail.gateway.channel import wait_readable
-from agaterail.gateway.eventstream import EventCutter
+from agaterail.gateway.eventstream import EventSplitter
+from agaterail.gateway.retrystate import MIN_TIME_LEFT_S, AttemptOutcome
 from agaterail.gateway.sender import Sender
+from agaterail.gateway.targetconnection import wait_readable
 
 if TYPE_CHECKING:
     from agaterail.gateway.attempt import Attempt
     from agaterail.gateway.daemon import Daemon
     from agaterail.gateway.inbound import AnswerHead
-    from agaterail.gateway.job import Job
+    from agaterail.gateway.requestcontext import RequestContext
 
 # A head of which a part has come is whole soon, or its target has failed.
 HEAD_TIMEOUT_S = 0.1
 # Statuses that promise to callers that the request did not run. A target that
 # sends one without saying so in its protocol's form may have run it.
-PROMISES = (408, 421, 429, 503)
-SERVER_ERRORS_FROM = 500
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @attrs.frozen
-class WholeAnswer:
+class BufferedAnswer:
     """A target's answer that is passed on in one piece."""
 
     head: AnswerHead
@@ -44,74 +44,76 @@
     ----------
     attempt
         The one that the answer is read from.
-    successor
+    hedge
         One that was sent while the first is silent.
-    cutter
+    splitter
         Passes on each event of a stream once, whichever target sends it.
     target_failure
         A target's own failure, for the caller if no other target answers.
-    answered
+    answer_started
         Something of an answer was sent to the caller.
     """
 
-    def __init__(self, daemon: Daemon, job: Job) -> None:
+    def __init__(self, daemon: Daemon, context: RequestContext) -> None:
         self.daemon = daemon
-        self.job = job
-        self.attempts = job.attempts
+        self.context = context
+        self.retry_state = context.retry_state
         self.attempt: Attempt | None = None
-        self.successor: Attempt | None = None
-        self.target_failure: WholeAnswer | None = None
-        last_event = job.inbound.last_event
-        self.cutter = EventCutter(last_id=int(last_event) if last_event.isdigit() else None)
-        self.sender = Sender(daemon, job)
-        self.answered = False
+        self.hedge: Attempt | None = None
+        self.target_failure: BufferedAnswer | None = None
+        last_event_id = context.inbound.last_event_id
+        self.splitter = EventSplitter(
+            last_id=int(last_event_id) if last_event_id.isdigit() else None
+        )
+        self.sender = Sender(daemon, context)
+        self.answer_started = False
 
     def run(self) -> Failure | None:
         """Answer the request; returns why it failed if nothing was sent yet."""
         try:
             while True:
-                begun = self.sender.begin(self._last_event())
-                if isinstance(begun, Failure):
-                    return self._fail(begun)
-                if self._follow(begun):
+                started = self.sender.start_attempt(self._last_event_id())
+                if isinstance(started, Failure):
+                    return self._fail(started)
+                if self._relay_answer(started):
                     return None
         finally:
-            for attempt in (self.attempt, self.successor):
+            for attempt in (self.attempt, self.hedge):
                 if attempt is not None:
                     attempt.abandon()
 
     def _fail(self, failure: Failure) -> Failure | None:
-        if self.target_failure is not None and not self.answered:
+        if self.target_failure is not None and not self.answer_started:
             self._send_whole(self.target_failure)
             return None
-        if not self.answered:
+        if not self.answer_started:
             return failure
-        self._note_length()
+        self._record_stream_length()
         # Part of a stream is with the caller; without its end it is plainly cut.
-        self.job.caller.abort()
-        self.job.cut = True
+        self.context.caller.abort()
+        self.context.truncated = True
         self.sender.log(
             "Stream cut.",
             kind=failure.kind.value,
             detail=failure.detail,
-            events=self.cutter.passed,
-            last_id=self.cutter.last_id,
-            output_tokens=self.job.inbound.output_tokens,
+            events=self.splitter.event_count,
+            last_id=self.splitter.last_id,
+            output_tokens=self.context.inbound.output_tokens,
         )
         return None
 
     # Reading.
 
-    def _follow(self, attempt: Attempt) -> bool:
+    def _relay_answer(self, attempt: Attempt) -> bool:
         """Read on until an answer has ended; tells whether one was passed on."""
-        self._use(attempt)
+        self._switch_to(attempt)
         while True:
             current = self.attempt
             assert current is not None
             try:
-                outcome = self._read_on(current)
+                outcome = self._relay_from(current)
             except TimeoutError:
-                if self._ask_another(current):
+                if self._send_hedge(current):
                     continue
                 outcome = AttemptOutcome.SILENT
             except OSError as error:
@@ -119,81 +121,81 @@
                 outcome = AttemptOutcome.BROKEN
             if outcome is None:
                 return True
-            self.sender.settle(current, outcome)
+            self.sender.end_attempt(current, outcome)
             return False
 
-    def _use(self, attempt: Attempt) -> None:
+    def _switch_to(self, attempt: Attempt) -> None:
         """Read the answer from an attempt from now on."""
         if attempt is not self.attempt:
-            self.cutter.restart()
-        self.attempt, self.successor = attempt, None
+            self.splitter.discard_partial()
+        self.attempt, self.hedge = attempt, None
         self.sender.choice = attempt.choice
-        self.job.target = attempt.instance
+        self.context.target = attempt.instance
 
-    def _read_on(self, attempt: Attempt) -> AttemptOutcome | None:
+    def _relay_from(self, attempt: Attempt) -> AttemptOutcome | None:
         """Pass an answer on; returns how the attempt failed, or nothing at its end."""
         now = self.daemon.now()
-        patience = self.attempts.patience_s(self.job.answer_by - now)
-        head = attempt.read_head(now + patience)
-        outcome = self._judge(attempt, head)
+        timeout_s = self.retry_state.first_byte_timeout_s(self.context.deadline - now)
+        head = attempt.read_head(now + timeout_s)
+        outcome = self._check_head(attempt, head)
         if outcome is not None:
             return outcome
         if attempt.is_stream:
-            return self._relay(attempt, head)
-        return self._pass_on(attempt, head)
+            return self._relay_stream(attempt, head)
+        return self._relay_buffered(attempt, head)
 
-    def _judge(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
+    def _check_head(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
         """Return why an answer is of no use to the caller; nothing if it may be."""
         if head.not_run:
             return AttemptOutcome.REFUSED
         if attempt.is_stream:
             return None
         # A stream that has begun can only go on with events.
-        if self.answered or not head.signed or head.status in PROMISES:
+        if self.answer_started or not head.has_server_stamp or head.status in NOT_RUN_STATUSES:
             return AttemptOutcome.FAILED
         return None
 
-    def _pass_on(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
+    def _relay_buffered(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
         """Read a whole answer, then send it; half an answer is never passed on."""
-        answer = WholeAnswer(head, attempt.read_rest(self.job.answer_by))
-        failed = head.status >= SERVER_ERRORS_FROM
-        if failed and self.attempts.may_repeat():
+        answer = BufferedAnswer(head, attempt.read_rest(self.context.deadline))
+        failed = head.status >= MIN_SERVER_ERROR_STATUS
+        if failed and self.retry_state.may_run_again():
             self.target_failure = answer
             attempt.finish()
             return AttemptOutcome.FAILED
-        attempt.finish(sound=not failed)
+        attempt.finish(healthy=not failed)
         self._send_whole(answer)
         return None
 
-    def _relay(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
+    def _relay_stream(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
         """Pass events on as they come."""
         while True:
             now = self.daemon.now()
-            left = self.job.answer_by - now
+            left = self.context.deadline - now
             if attempt.has_events:
-                patience = self.attempts.gap_patience_s(left)
+                timeout_s = self.retry_state.event_timeout_s(left)
             else:
-                patience = self.attempts.patience_s(left)
-            data = attempt.read_body(now + patience)
+                timeout_s = self.retry_state.first_byte_timeout_s(left)
+            data = attempt.read_body(now + timeout_s)
             if not data:
                 break
-            passed = self.cutter.passed
-            events = self.cutter.feed(data)
+            events_before = self.splitter.event_count
+            events = self.splitter.feed(data)
             if events:
                 self._send_events(head, events)
-                attempt.note_events(self.cutter.passed - passed)
-        if self.cutter.rest.strip() or self.cutter.broken:
+                attempt.record_events(self.splitter.event_count - events_before)
+        if self.splitter.partial.strip() or self.splitter.broken:
             return AttemptOutcome.BROKEN
         attempt.finish()
-        self._note_length()
-        if not self.answered:
+        self._record_stream_length()
+        if not self.answer_started:
             self._send_events(head, b"")
-        self.job.caller.end_stream()
+        self.context.caller.end_stream()
         self.sender.log(
             "Stream complete.",
-            events=self.cutter.passed,
-            last_id=self.cutter.last_id,
-            output_tokens=self.job.inbound.output_tokens,
+            events=self.splitter.event_count,
+            last_id=self.splitter.last_id,
+            output_tokens=self.context.inbound.output_tokens,
             late=self._is_late(),
             ran_weights=head.weights_version,
         )
@@ -201,105 +203,111 @@
 
     # A silent target and another one beside it.
 
-    def _ask_another(self, silent: Attempt) -> bool:
+    def _send_hedge(self, silent: Attempt) -> bool:
         """Send to further targets until one of them or the silent one answers.
 
         Returns whether there is an attempt to read on from; it is the silent one if no
         other target could be asked.
         """
-        if self._left_s() < LEAST_TIME_S:
+        if self._time_left_s() < MIN_TIME_LEFT_S:
             return False
         silent.target.note_failure(self.daemon.now())
-        while self._left_s() >= LEAST_TIME_S:
-            begun = self.sender.begin(self._last_event())
-            if isinstance(begun, Failure):
-                self._use(silent)
-                self.sender.log("Silent target kept.", reason=begun.detail)
+        while self._time_left_s() >= MIN_TIME_LEFT_S:
+            started = self.sender.start_attempt(self._last_event_id())
+            if isinstance(started, Failure):
+                self._switch_to(silent)
+                self.sender.log("Silent target kept.", reason=started.detail)
                 return True
-            self.successor = begun
+            self.hedge = started
             self.sender.log("Another target is asked.", silent=silent.instance)
-            if self._await_either(silent, begun):
+            if self._await_either_answer(silent, started):
                 return True
         return False
 
-    def _await_either(self, silent: Attempt, successor: Attempt) -> bool:
+    def _await_either_answer(self, silent: Attempt, hedge: Attempt) -> bool:
         """Wait for an answer of either target; tells whether one of them goes on."""
-        channels = (successor.channel, silent.channel)
-        while ready := wait_readable(channels, self._left_s()):
-            # Once the successor runs, the silent one must not go on beside it.
-            if successor.channel in ready:
-                return self._take_over(silent, successor)
-            outcome = self._first_word(silent)
+        connections = (hedge.connection, silent.connection)
+        while ready := wait_readable(connections, self._time_left_s()):
+            # once the hedge runs, the silent one must not go on beside it.
+            if hedge.connection in ready:
+                return self._check_hedge(silent, hedge)
+            outcome = self._check_progress(silent)
             if outcome is None:
-                self.sender.settle(successor, AttemptOutcome.NOT_NEEDED)
-                self._use(silent)
+                self.sender.end_attempt(hedge, AttemptOutcome.NOT_NEEDED)
+                self._switch_to(silent)
                 return True
             if outcome is not AttemptOutcome.SILENT:
-                self.sender.settle(silent, outcome)
-                self._use(successor)
+                self.sender.end_attempt(silent, outcome)
+                self._switch_to(hedge)
                 return True
-        self.sender.settle(successor, AttemptOutcome.SILENT)
+        self.sender.end_attempt(hedge, AttemptOutcome.SILENT)
         return False
 
-    def _take_over(self, silent: Attempt, successor: Attempt) -> bool:
-        outcome = self._first_word(successor)
+    def _check_hedge(self, silent: Attempt, hedge: Attempt) -> bool:
+        outcome = self._check_progress(hedge)
         if outcome is not None:
-            self.sender.settle(successor, outcome)
-            self.successor = None
+            self.sender.end_attempt(hedge, outcome)
+            self.hedge = None
             return False
-        self.sender.settle(silent, AttemptOutcome.SILENT)
-        self._use(successor)
+        self.sender.end_attempt(silent, AttemptOutcome.SILENT)
+        self._switch_to(hedge)
         return True
 
-    def _first_word(self, attempt: Attempt) -> AttemptOutcome | None:
+    def _check_progress(self, attempt: Attempt) -> AttemptOutcome | None:
         """Take in what a target sent; returns how it failed, or nothing if it goes on."""
-        deadline = min(self.job.answer_by, self.daemon.now() + HEAD_TIMEOUT_S)
+        deadline = min(self.context.deadline, self.daemon.now() + HEAD_TIMEOUT_S)
         try:
             if attempt.is_stream:
-                return None if attempt.take_in(self.cutter) else AttemptOutcome.SILENT
+                return None if attempt.poll_events(self.splitter) else AttemptOutcome.SILENT
             head = attempt.read_head(deadline)
-            outcome = self._judge(attempt, head)
-            if outcome is not None or attempt.is_stream or head.status < SERVER_ERRORS_FROM:
+            outcome = self._check_head(attempt, head)
+            if (
+                outcome is not None
+                or attempt.is_stream
+                or head.status < MIN_SERVER_ERROR_STATUS
+            ):
                 return outcome
-            self.target_failure = WholeAnswer(head, attempt.read_rest(deadline))
+            self.target_failure = BufferedAnswer(head, attempt.read_rest(deadline))
         except OSError as error:
             self.sender.log("Attempt broke.", attempt.choice, error=str(error))
             return AttemptOutcome.BROKEN
         return AttemptOutcome.FAILED
 
-    def _note_length(self) -> None:
-        shedder = self.daemon.shedder_of(self.job.service)
-        shedder.pace.note_end(self.job.route, self.cutter.passed)
+    def _record_stream_length(self) -> None:
+        shedder = self.daemon.shedder_of(self.context.service)
+        shedder.pace.note_end(self.context.route, self.splitter.event_count)
 
-    def _left_s(self) -> float:
-        return self.job.answer_by - self.daemon.now()
+    def _time_left_s(self) -> float:
+        return self.context.deadline - self.daemon.now()
 
-    def _last_event(self) -> str:
-        last = self.cutter.last_id
-        return self.job.inbound.last_event if last is None else str(last)
+    def _last_event_id(self) -> str:
+        last = self.splitter.last_id
+        return self.context.inbound.last_event_id if last is None else str(last)
 
     # The caller.
 
-    def _send_whole(self, answer: WholeAnswer) -> None:
-        self._answered_now()
-        self.job.caller.send_answer(answer.head.status, _lines(answer.head), answer.body)
+    def _send_whole(self, answer: BufferedAnswer) -> None:
+        self._mark_answer_started()
+        self.context.caller.send_answer(
+            answer.head.status, _header_lines(answer.head), answer.body
+        )
         self.sender.log("Answered.", status=answer.head.status, late=self._is_late())
 
     def _send_events(self, head: AnswerHead, events: bytes) -> None:
-        if self.answered:
-            self.job.caller.send_chunk(events)
+        if self.answer_started:
+            self.context.caller.send_chunk(events)
             return
-        self._answered_now()
-        self.job.caller.start_stream(head.status, _lines(head), events)
+        self._mark_answer_started()
+        self.context.caller.start_stream(head.status, _header_lines(head), events)
 
-    def _answered_now(self) -> None:
-        self.answered = True
-        self.job.first_byte_at = self.daemon.now()
+    def _mark_answer_started(self) -> None:
+        self.answer_started = True
+        self.context.first_byte_at = self.daemon.now()
 
     def _is_late(self) -> bool:
-        first_s = self.job.first_byte_s
-        return first_s is not None and first_s > self.job.route.objective_s
+        first_s = self.context.first_byte_s
+        return first_s is not None and first_s > self.context.route.objective_s
 
 
-def _lines(head: AnswerHead) -> list[bytes]:
+def _header_lines(head: AnswerHead) -> list[bytes]:
     return [name + b": " + value for name, value in head.headers]
--- a/agaterail/gateway/gracefulstop.py
+++ b/agaterail/gateway/gracefulstop.py
@@ -38,7 +38,7 @@
         started_at = daemon.now()
         daemon.stopping = True
         daemon.front.begin_stop()
-        logger.info("Stopping.", busy=daemon.front.busy)
+        logger.info("Stopping.", busy=daemon.front.active_requests)
         gevent.spawn(self._leave_fleet)
         deadline = started_at + daemon.settings.bounds.grace_s - KILL_MARGIN_S
         lag = min(BALANCER_LAG_S, daemon.settings.bounds.grace_s / 2.0)
@@ -49,7 +49,9 @@
             daemon.front.close_idle()
             gevent.sleep(POLL_INTERVAL_S)
         logger.info(
-            "Stopped.", took_s=round(daemon.now() - started_at, 3), cut=daemon.front.busy
+            "Stopped.",
+            took_s=round(daemon.now() - started_at, 3),
+            cut=daemon.front.active_requests,
         )
 
     def _leave_fleet(self) -> None:
--- a/agaterail/gateway/front.py
+++ b/agaterail/gateway/httpserver.py
@@ -14,7 +14,7 @@
 
 from agaterail import logs
 from agaterail.callerwatch import CallerLeft, CallerWatch
-from agaterail.gateway.inbound import Inbound
+from agaterail.gateway.inbound import InboundRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -31,7 +31,7 @@
 # in the kernel's bounded buffers until then and holds nobody else up.
 SEND_TIMEOUT_S = 10.0
 # Requests that a caller sends ahead on one connection are kept up to here.
-MOST_SENT_AHEAD = 16
+MAX_PIPELINED_REQUESTS = 16
 # How long a connection that was answered with an error is read on and thrown
 # away: closing with unread bytes would reset it, and the answer with it.
 LINGER_S = 0.5
@@ -73,8 +73,8 @@
         self.limits = limits
         self.now = now
         self.parser = httptools.HttpRequestParser(self)
-        self.ready: deque[Inbound] = deque()
-        self.current: Inbound | None = None
+        self.ready: deque[InboundRequest] = deque()
+        self.current: InboundRequest | None = None
         self.head_bytes = 0
         self.pieces: list[bytes] = []
         self.body_bytes = 0
@@ -82,7 +82,7 @@
         self.wants_continue = False
 
     @property
-    def begun(self) -> bool:
+    def in_progress(self) -> bool:
         """Tell whether part of a request has been read."""
         return self.current is not None
 
@@ -109,14 +109,16 @@
             raise RequestRefused(400, str(error)) from error
         if self.in_head and self.head_bytes > self.limits().max_header_bytes:
             raise RequestRefused(431, "the head is too large")
-        if len(self.ready) > MOST_SENT_AHEAD:
+        if len(self.ready) > MAX_PIPELINED_REQUESTS:
             raise RequestRefused(400, "too many requests were sent ahead")
 
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
         """Start a request."""
-        self.current = Inbound(method=b"", target=b"", headers=[], received_at=self.now())
+        self.current = InboundRequest(
+            method=b"", target=b"", headers=[], received_at=self.now()
+        )
         self.in_head = True
         self.pieces = []
         self.body_bytes = 0
@@ -163,11 +165,11 @@
 class CallerConnection:
     """One caller's connection and the answers on it."""
 
-    def __init__(self, sock: Any, front: Front) -> None:
+    def __init__(self, sock: Any, http_server: HttpServer) -> None:
         self.sock = sock
-        self.front = front
-        self.reader = RequestReader(front.limits, front.now)
-        self.keep = True  # of the connection, after the answer under way
+        self.http_server = http_server
+        self.reader = RequestReader(http_server.limits, http_server.now)
+        self.keep_open = True  # of the connection, after the answer under way
         self.answering = False
         self.streaming = False
         self.wake = gevent.event.Event()
@@ -175,20 +177,20 @@
 
     def serve(self) -> None:
         """Answer the connection's requests one after the other."""
-        while self.keep:
+        while self.keep_open:
             inbound = self._next_request()
             if inbound is None:
                 return
-            self.keep = inbound.keep_alive
+            self.keep_open = inbound.keep_alive
             self.answering = True
             self.streaming = False
             watch = CallerWatch(self.sock)
             try:
-                self.front.handle(inbound, self)
+                self.http_server.handle(inbound, self)
             finally:
                 watch.stop()
                 self.answering = False
-            if self.front.stopping:
+            if self.http_server.stopping:
                 # A stream whose head was sent before the stop has not told its
                 # caller; the next request on the connection could come so late
                 # that the process ends before its answer does.
@@ -226,7 +228,7 @@
 
     def abort(self) -> None:
         """End the connection so that an unfinished answer does not look complete."""
-        self.keep = False
+        self.keep_open = False
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request is being read or answered.
@@ -236,15 +238,15 @@
         just have read a request and passed it on.
         """
         if self.idle:
-            self.keep = False
+            self.keep_open = False
             self.wake.set()
 
-    def _next_request(self) -> Inbound | None:
+    def _next_request(self) -> InboundRequest | None:
         reader = self.reader
         while not reader.ready:
-            if not reader.begun and not self._wait_idle():
+            if not reader.in_progress and not self._wait_idle():
                 return None
-            self.sock.settimeout(self.front.limits().header_timeout_s)
+            self.sock.settimeout(self.http_server.limits().header_timeout_s)
             try:
                 data = self.sock.recv(READ_BYTES)
             except TimeoutError:
@@ -257,13 +259,13 @@
             except RequestRefused as refused:
                 if reader.ready:
                     # Whole requests before the bad bytes still get answers.
-                    self.keep = False
+                    self.keep_open = False
                     break
                 self._refuse(refused)
                 return None
             if reader.wants_continue:
                 reader.wants_continue = False
-                if reader.begun:
+                if reader.in_progress:
                     self._send(b"HTTP/1.1 100 Continue\r\n\r\n")
         return reader.ready.popleft()
 
@@ -274,7 +276,7 @@
         watcher.start(self.wake.set)
         self.idle = True
         try:
-            self.wake.wait(self.front.limits().idle_timeout_s)
+            self.wake.wait(self.http_server.limits().idle_timeout_s)
         finally:
             self.idle = False
             watcher.stop()
@@ -289,8 +291,8 @@
         logger.info(
             "Refused a malformed request.", status=refused.status, reason=refused.reason
         )
-        self.front.count_refusal(refused.status)
-        self.keep = False
+        self.http_server.count_refusal(refused.status)
+        self.keep_open = False
         self.send_answer(refused.status, [], b"")
         self._linger()
 
@@ -301,10 +303,10 @@
                 pass
 
     def _head(self, status: int, lines: Sequence[bytes], framing: bytes) -> bytes:
-        if self.front.stopping:
-            self.keep = False
+        if self.http_server.stopping:
+            self.keep_open = False
         head = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b"Status")), *lines, framing]
-        if not self.keep:
+        if not self.keep_open:
             head.append(b"Connection: close")
         return b"\r\n".join([*head, b"", b""])
 
@@ -320,7 +322,7 @@
             raise CallerLeft(str(error)) from error
 
 
-class Front:
+class HttpServer:
     """Listens for callers and hands whole requests on.
 
     Attributes
@@ -332,7 +334,7 @@
     def __init__(
         self,
         address: Address,
-        handle: Callable[[Inbound, CallerConnection], None],
+        handle: Callable[[InboundRequest, CallerConnection], None],
         limits: Callable[[], CallerLimits],
         now: Callable[[], float],
         count_refusal: Callable[[int], None] = lambda _status: None,
@@ -376,9 +378,9 @@
         self.server.stop(timeout=0)
 
     @property
-    def busy(self) -> int:
+    def active_requests(self) -> int:
         """Return the number of requests being read or answered."""
-        return sum(item.answering or item.reader.begun for item in self.connections)
+        return sum(item.answering or item.reader.in_progress for item in self.connections)
 
     def _on_connection(self, sock: Any, _address: Any) -> None:
         connection = CallerConnection(sock, self)
--- a/agaterail/gateway/inbound.py
+++ b/agaterail/gateway/inbound.py
@@ -5,7 +5,7 @@
 import attrs
 
 
-def part_key(name: str) -> str:
+def normalize_part_name(name: str) -> str:
     """Return a part's name as the events of stores spell it: a number without zeros before."""
     return name.lower().lstrip("0")
 
@@ -19,7 +19,7 @@
 
 
 @attrs.define(kw_only=True)
-class Inbound:
+class InboundRequest:
     """One request, whole, as its caller sent it.
 
     Attributes
@@ -36,7 +36,7 @@
         Seconds that the caller will wait, from its sending; None if not said.
     prompt
         Parts of the prompt, shared ones first; empty if not named.
-    last_event
+    last_event_id
         Position after which a stream is to be continued; empty for the start.
     """
 
@@ -55,7 +55,7 @@
     prompt: tuple[PromptPart, ...] = ()
     prompt_tokens: int = 0
     output_tokens: int = 0
-    last_event: str = ""
+    last_event_id: str = ""
 
     @property
     def path(self) -> bytes:
@@ -96,7 +96,7 @@
     fetch_from: str = ""
     save_to: str = ""
     priority: int | None = None
-    last_event: str = ""
+    last_event_id: str = ""
 
 
 @attrs.frozen(kw_only=True)
@@ -121,7 +121,7 @@
     not_run: bool
     request_id: str
     headers: tuple[tuple[bytes, bytes], ...]
-    signed: bool = False
+    has_server_stamp: bool = False
     keep_alive_s: float | None = None
     retry_after_s: float | None = None
     weights_version: int | None = None
--- a/agaterail/gateway/keptcontroller.py
+++ b/agaterail/gateway/keptcontroller.py
@@ -13,7 +13,7 @@
 from agaterail import logs
 from agaterail.gateway.keptparts import KeptParts, SaveQuestion
 from agaterail.gateway.placement import choose_by_hash
-from agaterail.util.greenlets import repeat
+from agaterail.util.greenlets import run_forever
 from agaterail.util.httpconn import ConnectionsByAddress
 
 if TYPE_CHECKING:
@@ -138,7 +138,7 @@
             self.next_numbers.pop(address, None)
         for address in set(addresses) - self.followers.keys():
             self.followers[address] = spawn(
-                repeat,
+                run_forever,
                 functools.partial(self.follow, address),
                 logger,
                 "Following a kept store raised.",
--- a/agaterail/gateway/logbudget.py
+++ b/agaterail/gateway/logratelimit.py
@@ -12,9 +12,9 @@
 # A line of 400 bytes costs some 40 us. 60 lines a second of each kind are 0.5%
 # of a core and 50 KB; a host serves ten requests a second on an ordinary day,
 # three lines each, and a flood of callers must not become a flood of lines.
-LINES_PER_S = 60
+MAX_LINES_PER_S = 60
 # Lines that say how a request went well; these are left out first.
-ROUTINE = frozenset({"Answered.", "Stream complete.", "Caller left."})
+ROUTINE_EVENTS = frozenset({"Answered.", "Stream complete.", "Caller left."})
 
 
 class HostField:
@@ -31,7 +31,7 @@
         return event
 
 
-class LogBudget:
+class LogRateLimiter:
     """Processor that drops what exceeds the lines of the current second.
 
     Routine lines have a budget of their own, so that they never take the place
@@ -39,12 +39,12 @@
     is written.
     """
 
-    def __init__(self, now: Callable[[], float], lines_per_s: int = LINES_PER_S) -> None:
+    def __init__(self, now: Callable[[], float], lines_per_s: int = MAX_LINES_PER_S) -> None:
         self.now = now
         self.lines_per_s = lines_per_s
         self.second = 0
-        self.used = {True: 0, False: 0}
-        self.left_out = 0
+        self.line_counts = {True: 0, False: 0}
+        self.suppressed = 0
 
     def __call__(
         self, _logger: Any, _method: str, event: MutableMapping[str, Any]
@@ -53,13 +53,13 @@
         second = int(self.now())
         if second != self.second:
             self.second = second
-            self.used = {True: 0, False: 0}
-        routine = event.get("event") in ROUTINE
-        if self.used[routine] >= self.lines_per_s:
-            self.left_out += 1
+            self.line_counts = {True: 0, False: 0}
+        routine = event.get("event") in ROUTINE_EVENTS
+        if self.line_counts[routine] >= self.lines_per_s:
+            self.suppressed += 1
             raise structlog.DropEvent
-        self.used[routine] += 1
-        if self.left_out:
-            event["lines_left_out"] = self.left_out
-            self.left_out = 0
+        self.line_counts[routine] += 1
+        if self.suppressed:
+            event["lines_left_out"] = self.suppressed
+            self.suppressed = 0
         return event
--- a/agaterail/gateway/logsink.py
+++ b/agaterail/gateway/logsink.py
@@ -17,19 +17,19 @@
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         self.dropped = 0
-        self.dropped_in_all = 0
-        self.rest = b""
+        self.dropped_total = 0
+        self.partial_line = b""
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
         """Write text, or count it as dropped."""
         data = text.encode("utf-8", "replace")
-        if self.rest and not self._flush_rest():
+        if self.partial_line and not self._flush_partial_line():
             self._drop()
             return len(text)
         if self.dropped:
-            note = b'{"event": "Log lines dropped.", "count": %d}\n' % self.dropped
-            data = note + data
+            notice = b'{"event": "Log lines dropped.", "count": %d}\n' % self.dropped
+            data = notice + data
         if self._write(data):
             self.dropped = 0
         else:
@@ -41,11 +41,11 @@
 
     def _drop(self) -> None:
         self.dropped += 1
-        self.dropped_in_all += 1
+        self.dropped_total += 1
 
-    def _flush_rest(self) -> bool:
-        rest = self.rest
-        return self._write(rest) and not self.rest
+    def _flush_partial_line(self) -> bool:
+        rest = self.partial_line
+        return self._write(rest) and not self.partial_line
 
     def _write(self, data: bytes) -> bool:
         """Write what fits; tells whether any of it did."""
@@ -57,5 +57,5 @@
             # Nobody reads, or the pipe is full.
             return False
         # A line that was begun is ended later, so that lines stay whole.
-        self.rest = data[written:]
+        self.partial_line = data[written:]
         return True
--- a/agaterail/gateway/metrics.py
+++ b/agaterail/gateway/metrics.py
@@ -8,12 +8,12 @@
 
 from agaterail import logs
 from agaterail.gateway.desired import CallerLimits
-from agaterail.gateway.front import Front
+from agaterail.gateway.httpserver import HttpServer
 
 if TYPE_CHECKING:
     from agaterail.gateway.daemon import Daemon
-    from agaterail.gateway.front import CallerConnection
-    from agaterail.gateway.inbound import Inbound
+    from agaterail.gateway.httpserver import CallerConnection
+    from agaterail.gateway.inbound import InboundRequest
     from agaterail.util.address import Address
 
 logger = logs.get_logger("metrics")
@@ -82,17 +82,17 @@
             )
         }
 
-    def text(self, daemon: Daemon) -> bytes:
+    def render(self, daemon: Daemon) -> bytes:
         """Return all metrics as text."""
-        self._sample(daemon)
+        self._update_gauges(daemon)
         return generate_latest(self.registry)
 
-    def _sample(self, daemon: Daemon) -> None:
+    def _update_gauges(self, daemon: Daemon) -> None:
         now = daemon.now()
         targets = list(daemon.book.targets.values())
         desired = daemon.state.desired
         values = {
-            "in_flight": daemon.front.busy,
+            "in_flight": daemon.front.active_requests,
             "reading_age_seconds": daemon.freshness.age_s(now),
             "desired_version": -1 if desired is None else desired.version,
             "targets_usable": sum(target.is_usable(now) for target in targets),
@@ -111,17 +111,17 @@
             self.gauges[name].set(value)
 
 
-def start_metrics(daemon: Daemon, address: Address, path: bytes) -> Front | None:
+def start_metrics(daemon: Daemon, address: Address, path: bytes) -> HttpServer | None:
     """Serve the metrics at one path; without the address the daemon runs on."""
 
-    def handle(inbound: Inbound, caller: CallerConnection) -> None:
+    def handle(inbound: InboundRequest, caller: CallerConnection) -> None:
         if inbound.path != path:
             caller.send_answer(NOT_FOUND, [], b"")
             return
-        caller.send_answer(OK, [CONTENT_TYPE], daemon.metrics.text(daemon))
+        caller.send_answer(OK, [CONTENT_TYPE], daemon.metrics.render(daemon))
 
     try:
-        server = Front(address, handle, CallerLimits, daemon.now)
+        server = HttpServer(address, handle, CallerLimits, daemon.now)
     except OSError as error:
         logger.warning("Metrics are not served.", address=str(address), reason=str(error))
         return None
--- a/agaterail/gateway/peerresponder.py
+++ b/agaterail/gateway/peerresponder.py
@@ -10,15 +10,15 @@
 from agaterail.gateway import peerprotocol
 from agaterail.gateway.desired import CallerLimits
 from agaterail.gateway.feedtimes import PEER_WAIT_S, REQUIRED_FEEDS, max_silence_s
-from agaterail.gateway.front import Front
+from agaterail.gateway.httpserver import HttpServer
 from agaterail.util.units import MS_PER_S
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from agaterail.gateway.feedhub import FeedHub
-    from agaterail.gateway.front import CallerConnection
-    from agaterail.gateway.inbound import Inbound
+    from agaterail.gateway.httpserver import CallerConnection
+    from agaterail.gateway.inbound import InboundRequest
     from agaterail.util.address import Address
 
 logger = logs.get_logger("feeds")
@@ -69,9 +69,9 @@
         self.handlers: dict[bytes, Callable[[bytes], bytes]] = {
             peerprotocol.PATH: self._answer_poll
         }
-        self.server = Front(address, self.handle, CallerLimits, now)
+        self.server = HttpServer(address, self.handle, CallerLimits, now)
 
-    def handle(self, inbound: Inbound, caller: CallerConnection) -> None:
+    def handle(self, inbound: InboundRequest, caller: CallerConnection) -> None:
         """Answer one request of a peer."""
         path, _, query = inbound.target.partition(b"?")
         handler = self.handlers.get(path)
--- a/agaterail/gateway/placement.py
+++ b/agaterail/gateway/placement.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
 
-    from agaterail.gateway.inbound import Inbound
+    from agaterail.gateway.inbound import InboundRequest
     from agaterail.gateway.namedweights import NamedVersion, NamedWeights
     from agaterail.gateway.targets import Target
 
@@ -113,7 +113,7 @@
 
 
 def choose_engine(
-    inbound: Inbound,
+    inbound: InboundRequest,
     targets: Sequence[Target],
     excluded: Collection[str],
     rules: PlacementRules,
--- a/agaterail/gateway/readiness.py
+++ b/agaterail/gateway/readiness.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from agaterail.gateway.desired import CallerLimits
-from agaterail.gateway.front import Front
+from agaterail.gateway.httpserver import HttpServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from agaterail.gateway.front import CallerConnection
-    from agaterail.gateway.inbound import Inbound
+    from agaterail.gateway.httpserver import CallerConnection
+    from agaterail.gateway.inbound import InboundRequest
     from agaterail.util.address import Address
 
 READY = 200
@@ -21,7 +21,7 @@
 
 def make_readiness(
     address: Address, path: bytes, ready: Callable[[], bool], now: Callable[[], float]
-) -> Front:
+) -> HttpServer:
     """Return a server that answers one path; bound, not started.
 
     Raises
@@ -30,10 +30,10 @@
         If the address cannot be bound.
     """
 
-    def handle(inbound: Inbound, caller: CallerConnection) -> None:
+    def handle(inbound: InboundRequest, caller: CallerConnection) -> None:
         if inbound.path != path:
             caller.send_answer(NOT_FOUND, [], b"")
             return
         caller.send_answer(READY if ready() else NOT_READY, [], b"")
 
-    return Front(address, handle, CallerLimits, now)
+    return HttpServer(address, handle, CallerLimits, now)
--- a/agaterail/gateway/job.py
+++ b/agaterail/gateway/requestcontext.py
@@ -7,34 +7,34 @@
 import attrs
 
 if TYPE_CHECKING:
-    from agaterail.gateway.attempts import Attempts
     from agaterail.gateway.desired import Route, Workspace
-    from agaterail.gateway.front import CallerConnection
-    from agaterail.gateway.inbound import Inbound
+    from agaterail.gateway.httpserver import CallerConnection
+    from agaterail.gateway.inbound import InboundRequest
+    from agaterail.gateway.retrystate import RetryState
 
 
 @attrs.define(kw_only=True)
-class Job:
+class RequestContext:
     """A request on its way to an answer.
 
     Attributes
     ----------
-    answer_by
+    deadline
         Time at which the last byte of the answer is due.
     saves
         The engine that has it was told to save its prompt.
     """
 
-    inbound: Inbound
+    inbound: InboundRequest
     route: Route
     service: str
     workspace: Workspace | None
-    answer_by: float
+    deadline: float
     caller: CallerConnection
-    attempts: Attempts
+    retry_state: RetryState
     first_byte_at: float | None = None
     target: str = ""
-    cut: bool = False
+    truncated: bool = False
     saves: bool = False
 
     @property
--- a/agaterail/gateway/sender.py
+++ b/agaterail/gateway/sender.py
@@ -10,24 +10,24 @@
 from agaterail.errors import ErrorKind, Failure
 from agaterail.gateway.admission import is_hopeless, retry_after_s
 from agaterail.gateway.attempt import Attempt
-from agaterail.gateway.attempts import AttemptOutcome
 from agaterail.gateway.inbound import AttemptHead
+from agaterail.gateway.retrystate import AttemptOutcome
 
 if TYPE_CHECKING:
-    from agaterail.gateway.channel import Channel
     from agaterail.gateway.daemon import Daemon
-    from agaterail.gateway.job import Job
     from agaterail.gateway.placement import Choice
+    from agaterail.gateway.requestcontext import RequestContext
+    from agaterail.gateway.targetconnection import TargetConnection
 
 logger = logs.get_logger("forward")
 
 # A host that does not answer a connection at all is without power, frozen or
 # cut off; hosts are some milliseconds apart.
 CONNECT_TIMEOUT_S = 0.3
-CONNECT_PART = 0.25
+CONNECT_TIMEOUT_FRACTION = 0.25
 # The answer needs its time back to the caller: a few milliseconds of network,
 # and the event loop's pauses on a busy host.
-WAY_BACK_S = 0.02
+RETURN_MARGIN_S = 0.02
 
 
 class Sender:
@@ -39,41 +39,41 @@
         The newest choice, sent to or not; None before the first.
     """
 
-    def __init__(self, daemon: Daemon, job: Job) -> None:
+    def __init__(self, daemon: Daemon, context: RequestContext) -> None:
         self.daemon = daemon
-        self.job = job
-        self.attempts = job.attempts
+        self.context = context
+        self.retry_state = context.retry_state
         self.choice: Choice | None = None
 
-    def begin(self, last_event: str) -> Attempt | Failure:
+    def start_attempt(self, last_event_id: str) -> Attempt | Failure:
         """Send the request to the next target, or tell why there is none.
 
         Parameters
         ----------
-        last_event
+        last_event_id
             Id of the event after which a stream is to go on; empty for the start.
         """
         while True:
-            opened = self._open()
+            opened = self._connect_to_next()
             if isinstance(opened, Failure):
                 return opened
-            choice, channel = opened
-            attempt = self._send(choice, channel, last_event)
+            choice, connection = opened
+            attempt = self._send(choice, connection, last_event_id)
             if attempt is not None:
                 return attempt
 
-    def settle(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+    def end_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Take in how an attempt ended and let go of its channel."""
-        self._note(attempt.instance, outcome)
+        self._record_outcome(attempt.instance, outcome)
         if outcome is AttemptOutcome.REFUSED:
-            self._take_refusal(attempt)
+            self._handle_refusal(attempt)
             return
         attempt.abandon()
         if outcome is not AttemptOutcome.NOT_NEEDED:
             attempt.target.note_failure(self.daemon.now())
         self.log("Attempt failed.", attempt.choice, outcome=outcome.value)
 
-    def _take_refusal(self, attempt: Attempt) -> None:
+    def _handle_refusal(self, attempt: Attempt) -> None:
         head = attempt.head
         assert head is not None
         attempt.target.note_refusal(self.daemon.now())
@@ -91,35 +91,37 @@
             return
         attempt.finish()
 
-    def _note(self, instance: str, outcome: AttemptOutcome) -> None:
-        self.attempts.note(instance, outcome)
+    def _record_outcome(self, instance: str, outcome: AttemptOutcome) -> None:
+        self.retry_state.record_outcome(instance, outcome)
         self.daemon.metrics.attempts.labels(outcome.value).inc()
 
-    def log(self, sentence: str, choice: Choice | None = None, **fields: object) -> None:
+    def log(self, event: str, choice: Choice | None = None, **fields: object) -> None:
         """Write a line on a decision; about the newest choice, if not another."""
-        job = self.job
+        context = self.context
         choice = choice or self.choice
         logger.info(
-            sentence,
-            request=job.inbound.request_id,
-            route=job.route.name,
-            workspace=None if job.workspace is None else job.workspace.name,
+            event,
+            request=context.inbound.request_id,
+            route=context.route.name,
+            workspace=None if context.workspace is None else context.workspace.name,
             target=None if choice is None else choice.target.instance,
-            age_s=round(self.daemon.now() - job.inbound.received_at, 4),
-            first_byte_s=None if job.first_byte_s is None else round(job.first_byte_s, 4),
-            left_s=round(job.answer_by - self.daemon.now(), 3),
-            sends=self.attempts.sends,
+            age_s=round(self.daemon.now() - context.inbound.received_at, 4),
+            first_byte_s=None
+            if context.first_byte_s is None
+            else round(context.first_byte_s, 4),
+            left_s=round(context.deadline - self.daemon.now(), 3),
+            sends=self.retry_state.sends,
             cost_ms=None if choice is None else round(choice.cost_ms, 1),
             queue_ms=None if choice is None else round(choice.queue_ms, 1),
             rank=None if choice is None else choice.rank,
             candidates=None if choice is None else choice.candidates,
             weights=None if choice is None else choice.weights_version,
-            saves=job.saves,
-            **self._age_of_weights(choice),
+            saves=context.saves,
+            **self._outdated_weights_fields(choice),
             **fields,
         )
 
-    def _age_of_weights(self, choice: Choice | None) -> dict[str, object]:
+    def _outdated_weights_fields(self, choice: Choice | None) -> dict[str, object]:
         """Return what is believed of outdated weights at the chosen target."""
         named = None if choice is None else choice.outdated_by
         if named is None:
@@ -130,65 +132,71 @@
             "age_assumed": named.assumed,
         }
 
-    def _open(self) -> tuple[Choice, Channel] | Failure:
+    def _connect_to_next(self) -> tuple[Choice, TargetConnection] | Failure:
         """Connect to the next target, or tell why there is none."""
         while True:
             now = self.daemon.now()
-            left = self.job.answer_by - now
-            if not self.attempts.may_go_on(left):
-                return self._given_up(now, "no attempt left")
-            choice = self.daemon.choose(self.job, now)
+            left = self.context.deadline - now
+            if not self.retry_state.may_try_another(left):
+                return self._give_up(now, "no attempt left")
+            choice = self.daemon.choose(self.context, now)
             if choice is None:
-                return self._given_up(now, "no usable target")
+                return self._give_up(now, "no usable target")
             self.choice = choice
-            wait_s = self.daemon.expected_wait_s(self.job, choice)
+            wait_s = self.daemon.expected_wait_s(self.context, choice)
             if is_hopeless(wait_s, left):
-                return self._given_up(now, f"expected wait {wait_s:.1f} s")
-            overload = self._overload(now)
+                return self._give_up(now, f"expected wait {wait_s:.1f} s")
+            overload = self._check_overload(now)
             if overload is not None:
                 return overload
-            self.job.target = choice.target.instance
-            channel = self._connect(choice, left, now)
-            if channel is None:
+            self.context.target = choice.target.instance
+            connection = self._connect(choice, left, now)
+            if connection is None:
                 continue
-            if self.attempts.sends and not self.daemon.budget.take(self.job.service, now):
-                self.daemon.channels.give_back_unused(choice.target, channel)
-                return self._given_up(now, "no repeat left in the budget")
-            return choice, channel
-
-    def _connect(self, choice: Choice, left: float, now: float) -> Channel | None:
-        timeout_s = min(CONNECT_TIMEOUT_S, left * CONNECT_PART)
-        idempotent = self.job.route.idempotent
+            if self.retry_state.sends and not self.daemon.budget.take(
+                self.context.service, now
+            ):
+                self.daemon.channels.release_unused(choice.target, connection)
+                return self._give_up(now, "no repeat left in the budget")
+            return choice, connection
+
+    def _connect(self, choice: Choice, left: float, now: float) -> TargetConnection | None:
+        timeout_s = min(CONNECT_TIMEOUT_S, left * CONNECT_TIMEOUT_FRACTION)
+        idempotent = self.context.route.idempotent
         try:
-            return self.daemon.channels.take(choice.target, idempotent, timeout_s)
+            return self.daemon.channels.acquire(choice.target, idempotent, timeout_s)
         except OSError as error:
             choice.target.note_failure(now)
-            self._note(choice.target.instance, AttemptOutcome.NOT_CONNECTED)
+            self._record_outcome(choice.target.instance, AttemptOutcome.NOT_CONNECTED)
             self.log("No connection.", error=str(error))
             return None
 
-    def _overload(self, now: float) -> Failure | None:
+    def _check_overload(self, now: float) -> Failure | None:
         """Refuse a prompt that would make others late, before it was sent anywhere."""
-        if not self.job.route.prompted or self.attempts.sends:
+        if not self.context.route.prompted or self.retry_state.sends:
             return None
         random = self.daemon.random
-        shedder = self.daemon.shedder_of(self.job.service)
+        shedder = self.daemon.shedder_of(self.context.service)
         if not shedder.refuses(random.random(), now):
             return None
-        left = self.job.answer_by - now
+        left = self.context.deadline - now
         reason = f"wait {shedder.mean_wait:.2f} objectives, {shedder.chance:.2f} refused"
         hint = retry_after_s(left, random.random(), overloaded=True)
         return Failure(ErrorKind.OVERLOADED, reason, hint)
 
-    def _send(self, choice: Choice, channel: Channel, last_event: str) -> Attempt | None:
-        left = self.job.answer_by - self.daemon.now()
-        attempt = Attempt(self.daemon, self.job, choice, channel)
-        self.attempts.begin(attempt.instance)
+    def _send(
+        self, choice: Choice, connection: TargetConnection, last_event_id: str
+    ) -> Attempt | None:
+        left = self.context.deadline - self.daemon.now()
+        attempt = Attempt(self.daemon, self.context, choice, connection)
+        self.retry_state.record_send(attempt.instance)
         try:
-            channel.send(*self._encoded(choice, left, last_event), timeout_s=max(0.001, left))
+            connection.send(
+                *self._encode(choice, left, last_event_id), timeout_s=max(0.001, left)
+            )
         except OSError as error:
             self.log("Attempt broke.", error=str(error))
-            self.settle(attempt, AttemptOutcome.BROKEN)
+            self.end_attempt(attempt, AttemptOutcome.BROKEN)
             return None
         except BaseException:
             # The caller left; nobody else knows of this attempt yet.
@@ -196,22 +204,22 @@
             raise
         return attempt
 
-    def _encoded(self, choice: Choice, left: float, last_event: str) -> tuple[bytes, bytes]:
-        job = self.job
-        terms = self.daemon.cache_terms(job, choice)
-        job.saves = bool(terms.save_to)
+    def _encode(self, choice: Choice, left: float, last_event_id: str) -> tuple[bytes, bytes]:
+        context = self.context
+        terms = self.daemon.cache_terms(context, choice)
+        context.saves = bool(terms.save_to)
         head = AttemptHead(
-            time_left_s=max(0.001, left - WAY_BACK_S),
+            time_left_s=max(0.001, left - RETURN_MARGIN_S),
             instance=choice.target.instance,
-            workspace="" if job.workspace is None else job.workspace.name,
-            last_event=last_event,
+            workspace="" if context.workspace is None else context.workspace.name,
+            last_event_id=last_event_id,
             **attrs.asdict(terms),
         )
-        return self.daemon.encode(job.inbound, head), job.inbound.body
+        return self.daemon.encode(context.inbound, head), context.inbound.body
 
-    def _given_up(self, now: float, reason: str) -> Failure:
-        kind = self.attempts.error_kind()
+    def _give_up(self, now: float, reason: str) -> Failure:
+        kind = self.retry_state.error_kind()
         if kind is ErrorKind.NO_TARGET and self.choice is not None:
             kind = ErrorKind.OVERLOADED
         number = self.daemon.random.random()
-        return Failure(kind, reason, retry_after_s(self.job.answer_by - now, number))
+        return Failure(kind, reason, retry_after_s(self.context.deadline - now, number))
--- a/agaterail/gateway/channel.py
+++ b/agaterail/gateway/targetconnection.py
@@ -24,16 +24,16 @@
 READ_BYTES = 64 * 1024
 # An answer whose head has not ended after so many bytes is no answer.
 MAX_HEAD_BYTES = 64 * 1024
-INTERIM_BELOW = 200
+MIN_FINAL_STATUS = 200
 NO_CONTENT = 204
 NOT_MODIFIED = 304
 # Bytes that were sent and not acknowledged for so long fail the connection: a
 # host without power or behind a partition answers nothing at all, and without
 # this a write to it would hang for minutes.
-UNACKNOWLEDGED_MS = 3000
+TCP_USER_TIMEOUT_MS = 3000
 # Closing with a reset tells the target at once that nobody waits; an orderly
 # close may leave it working on an answer that still fits its send buffer.
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class AnswerBroken(ConnectionError):  # noqa: N818
@@ -48,11 +48,11 @@
     headers: list[tuple[bytes, bytes]] = attrs.field(factory=list)
     head_done: bool = False
     done: bool = False
-    framed: bool = False
+    delimited: bool = False
     chunks: list[bytes] = attrs.field(factory=list)
 
 
-class Channel:
+class TargetConnection:
     """Connection to one target.
 
     At most one request is under way. The parser takes in whatever arrives; an
@@ -94,7 +94,7 @@
         timeout_s: float,
         decode: Callable[..., AnswerHead],
         now: Callable[[], float],
-    ) -> Channel:
+    ) -> TargetConnection:
         """Open a connection.
 
         Raises
@@ -106,7 +106,9 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, std_socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+            sock.setsockopt(
+                socket.IPPROTO_TCP, std_socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
+            )
             sock.settimeout(timeout_s)
             sock.connect((host, int(port)))
         except BaseException:
@@ -142,13 +144,13 @@
         message.status = self.parser.get_status_code()
         message.head_done = True
         names = {name.lower(): value.lower() for name, value in message.headers}
-        message.framed = (
+        message.delimited = (
             b"content-length" in names
             or b"chunked" in names.get(b"transfer-encoding", b"")
             or message.status in (NO_CONTENT, NOT_MODIFIED)
-            or message.status < INTERIM_BELOW
+            or message.status < MIN_FINAL_STATUS
         )
-        if b"close" in names.get(b"connection", b"") or not message.framed:
+        if b"close" in names.get(b"connection", b"") or not message.delimited:
             self.reusable = False
 
     def on_body(self, data: bytes) -> None:
@@ -164,12 +166,12 @@
 
     # What a request needs.
 
-    def is_stale(self, margin: float) -> bool:
+    def is_stale(self, keep_alive_fraction: float) -> bool:
         """Tell whether the target has closed the idle connection or soon will."""
         if self.closed or not self.reusable:
             return True
         idle_s = self.now() - self.idle_since
-        if self.keep_alive_s is not None and idle_s > self.keep_alive_s * margin:
+        if self.keep_alive_s is not None and idle_s > self.keep_alive_s * keep_alive_fraction:
             return True
         try:
             data = self.sock._sock.recv(1, std_socket.MSG_PEEK | std_socket.MSG_DONTWAIT)
@@ -213,7 +215,7 @@
         while True:
             message = self.messages[0] if self.messages else None
             if message is not None and message.head_done:
-                if message.status < INTERIM_BELOW:
+                if message.status < MIN_FINAL_STATUS:
                     if message.done:
                         self.messages.pop(0)
                         continue
@@ -228,7 +230,7 @@
                         self.messages.pop(0)
                         continue
                     message.chunks.clear()
-            if not self._fill(deadline):
+            if not self._receive(deadline):
                 raise AnswerBroken("the target closed the channel without an answer")
 
     def read_body(self, deadline: float) -> bytes:
@@ -245,8 +247,8 @@
         while not message.chunks:
             if message.done:
                 return b""
-            if not self._fill(deadline):
-                if message.framed:
+            if not self._receive(deadline):
+                if message.delimited:
                     raise AnswerBroken("the body was cut short")
                 message.done = True
         data = b"".join(message.chunks)
@@ -279,10 +281,10 @@
             self.writer.kill(block=False)
         # It fails if the other side has reset it already; closing is left then.
         with contextlib.suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.sock.close()
 
-    def _fill(self, deadline: float) -> bool:
+    def _receive(self, deadline: float) -> bool:
         left = deadline - self.now()
         if left <= 0.0:
             raise TimeoutError(errno.ETIMEDOUT, "no answer in time")
@@ -309,10 +311,12 @@
             self.reusable = False
 
 
-def wait_readable(channels: Sequence[Channel], timeout_s: float) -> list[Channel]:
+def wait_readable(
+    connections: Sequence[TargetConnection], timeout_s: float
+) -> list[TargetConnection]:
     """Return the channels on which bytes or an end came, none if nothing did in time."""
     poll = select.poll()
-    by_number = {channel.sock.fileno(): channel for channel in channels}
+    by_number = {connection.sock.fileno(): connection for connection in connections}
     for number in by_number:
         poll.register(number, select.POLLIN)
     found = poll.poll(max(0.0, timeout_s) * MS_PER_S)
--- a/agaterail/logs.py
+++ b/agaterail/logs.py
@@ -63,12 +63,12 @@
 
 def _render_line(_logger: Any, _method: str, event: dict[str, Any]) -> str:
     part = event.pop("part", "main")
-    sentence = event.pop("event", "")
+    message = event.pop("event", "")
     stamp = event.pop("timestamp", "")
     level = event.pop("level", "info")
     exception = event.pop("exception", None)
     pairs = " ".join(f"{key}={_quote(value)}" for key, value in event.items())
-    line = f"{stamp} {level} {part}: {sentence}"
+    line = f"{stamp} {level} {part}: {message}"
     if pairs:
         line = f"{line} {pairs}"
     if exception:
--- a/agaterail/losses.py
+++ b/agaterail/losses.py
@@ -8,20 +8,20 @@
 
 import attrs
 
-from agaterail.story import seconds_of_day
+from agaterail.requesttrace import seconds_of_day
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from agaterail.story import Line
+    from agaterail.requesttrace import LogLine
 
 # Queue before a prompt, as the daemon reckoned it, from which on the queue is named
 # as the cause of a late first token; half of the shortest objective in use.
 LONG_QUEUE_MS = 200.0
 # A stream that ends with less time left than this ran into its time limit.
-TIME_LIMIT_LEFT_S = 0.15
-SERVER_ERRORS_FROM = 500
-MOST_EXAMPLES = 3
+TIME_LIMIT_MARGIN_S = 0.15
+MIN_SERVER_ERROR_STATUS = 500
+MAX_EXAMPLES = 3
 
 
 class Cause(enum.Enum):
@@ -30,7 +30,7 @@
     OVERLOAD = "refused, prompts would be late"
     NO_USABLE_TARGET = "refused, no usable target"
     TARGETS_REFUSED = "refused by the targets"
-    NO_READING = "refused for want of a fresh reading"
+    STALE_STATE = "refused for want of a fresh reading"
     OTHER_REFUSAL = "refused otherwise"
     SILENT_TARGET = "target was silent"
     LOST_TARGET = "target broke off"
@@ -39,7 +39,7 @@
     CUT = "cut in the middle"
     LEFT_WAITING = "caller left before the first byte"
     LEFT_STREAM = "caller left a stream"
-    LATE_SECOND_TRY = "late, after a failed attempt"
+    LATE_RETRY = "late, after a failed attempt"
     LATE_QUEUE = "late, behind other prompts"
     LATE_ELSEWHERE = "late, not at the prompt's home"
     LATE_HOME = "late, at the prompt's home"
@@ -52,7 +52,7 @@
     "overloaded": Cause.OVERLOAD,
     "no_target": Cause.NO_USABLE_TARGET,
     "target_refused": Cause.TARGETS_REFUSED,
-    "tables_unavailable": Cause.NO_READING,
+    "tables_unavailable": Cause.STALE_STATE,
     "target_timeout": Cause.SILENT_TARGET,
     "target_lost": Cause.LOST_TARGET,
 }
@@ -60,7 +60,7 @@
 
 
 @attrs.define
-class Loss:
+class LossGroup:
     """Requests of one route that were lost or late for one cause.
 
     Attributes
@@ -78,22 +78,22 @@
     examples: list[str] = attrs.field(factory=list)
 
 
-def find_losses(lines: Iterable[Line], slot_s: int) -> list[Loss]:
+def find_losses(lines: Iterable[LogLine], slot_s: int) -> list[LossGroup]:
     """Group the requests that got no whole answer in time, the largest group first."""
-    groups: dict[tuple[Cause, str], Loss] = {}
+    groups: dict[tuple[Cause, str], LossGroup] = {}
     for line in lines:
         fields = dict(line.fields)
         cause = cause_of(line.event, fields)
         if cause is None or not line.request:
             continue
         route = str(fields.get("route") or "-")
-        loss = groups.setdefault((cause, route), Loss(cause, route))
+        loss = groups.setdefault((cause, route), LossGroup(cause, route))
         loss.count += 1
         seconds = seconds_of_day(line.timestamp)
         if not math.isnan(seconds):
             slot = int(seconds) // slot_s * slot_s
             loss.by_slot[slot] = loss.by_slot.get(slot, 0) + 1
-        if len(loss.examples) < MOST_EXAMPLES:
+        if len(loss.examples) < MAX_EXAMPLES:
             loss.examples.append(line.request)
     return sorted(groups.values(), key=lambda loss: -loss.count)
 
@@ -104,11 +104,11 @@
         kind = str(fields.get("kind"))
         return None if kind in DENIALS else CAUSE_OF_KIND.get(kind, Cause.OTHER_REFUSAL)
     if event == "Stream cut.":
-        at_limit = float(fields.get("left_s", 1.0)) < TIME_LIMIT_LEFT_S
+        at_limit = float(fields.get("left_s", 1.0)) < TIME_LIMIT_MARGIN_S
         return Cause.TIME_LIMIT if at_limit else Cause.CUT
     if event == "Caller left.":
         return Cause.LEFT_STREAM if fields.get("first_byte") else Cause.LEFT_WAITING
-    if event == "Answered." and int(fields.get("status", 0)) >= SERVER_ERRORS_FROM:
+    if event == "Answered." and int(fields.get("status", 0)) >= MIN_SERVER_ERROR_STATUS:
         return Cause.TARGET_FAILURE
     if event in ("Answered.", "Stream complete.") and fields.get("late"):
         return _cause_of_lateness(fields)
@@ -117,7 +117,7 @@
 
 def _cause_of_lateness(fields: dict[str, Any]) -> Cause:
     if int(fields.get("sends", 1)) > 1:
-        return Cause.LATE_SECOND_TRY
+        return Cause.LATE_RETRY
     if fields.get("events") is None:
         return Cause.LATE_PLAIN
     if float(fields.get("queue_ms") or 0.0) >= LONG_QUEUE_MS:
--- a/agaterail/platform/cacheevents.py
+++ b/agaterail/platform/cacheevents.py
@@ -7,7 +7,7 @@
 
 from returns.result import Failure, Result, Success
 
-from agaterail.gateway.inbound import part_key
+from agaterail.gateway.inbound import normalize_part_name
 from agaterail.gateway.keptparts import CacheChange, CacheFeed, CacheNews
 from agaterail.platform import fields, names
 from agaterail.platform.fields import MalformedError
@@ -71,4 +71,4 @@
     if not isinstance(scope, str) or not isinstance(part, str):
         raise MalformedError("an event names no part")
     # A part that was dropped in part only is of no use to those that need it whole.
-    return CacheChange(scope, part_key(part), held=sign == "+")
+    return CacheChange(scope, normalize_part_name(part), held=sign == "+")
--- a/agaterail/platform/requests.py
+++ b/agaterail/platform/requests.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-    from agaterail.gateway.inbound import AttemptHead, Inbound
+    from agaterail.gateway.inbound import AttemptHead, InboundRequest
 
 PART = re.compile(r"([0-9A-Fa-f]+):(\d{1,12})")
 WHOLE = re.compile(rb"\d{1,15}")
@@ -21,7 +21,7 @@
 MS = 1e-3
 
 
-def decode_request(inbound: Inbound) -> Result[Inbound, str]:
+def decode_request(inbound: InboundRequest) -> Result[InboundRequest, str]:
     """Fill in what the headers of a caller's request say.
 
     A header that decides something and comes twice, or cannot be read, makes
@@ -37,7 +37,7 @@
     inbound.host = host.rsplit(":", 1)[0] if host.rpartition(":")[2].isdigit() else host
     inbound.request_id = seen.get(names.REQUEST_ID, b"").decode("latin-1")
     inbound.model = seen.get(names.MODEL, b"").decode("latin-1")
-    inbound.last_event = seen.get(names.LAST_EVENT_ID, b"").decode("latin-1")
+    inbound.last_event_id = seen.get(names.LAST_EVENT_ID, b"").decode("latin-1")
     authorization = seen.get(names.AUTHORIZATION, b"").decode("latin-1")
     if authorization.startswith(names.BEARER):
         inbound.api_key = authorization[len(names.BEARER) :].strip()
@@ -49,7 +49,7 @@
     return _decode_prompt(inbound, seen)
 
 
-def encode_attempt(inbound: Inbound, head: AttemptHead) -> bytes:
+def encode_attempt(inbound: InboundRequest, head: AttemptHead) -> bytes:
     """Return the bytes of the request for a target, up to its body."""
     lines = [inbound.method + b" " + inbound.target + b" HTTP/1.1"]
     named_by_caller = _connection_options(inbound.headers)
@@ -63,7 +63,7 @@
         (b"Deadline-Ms", str(max(1, int(head.time_left_s / MS)))),
         (b"Expect-Instance", head.instance),
         (b"Tenant", head.workspace),
-        (b"Last-Event-Id", head.last_event),
+        (b"Last-Event-Id", head.last_event_id),
         (b"Cache-Salt", head.cache_scope),
         (b"Kv-Fetch", head.fetch_from),
         (b"Kv-Save", head.save_to),
@@ -91,7 +91,7 @@
         not_run=names.NOT_RUN in seen or status == 421,
         request_id=seen.get(names.REQUEST_ID, b"").decode("latin-1"),
         headers=passed_on,
-        signed=names.SIGNATURE in seen,
+        has_server_stamp=names.SIGNATURE in seen,
         keep_alive_s=None if keep_alive is None else float(keep_alive.group(1)),
         retry_after_s=_seconds(seen.get(names.RETRY_AFTER)),
         weights_version=int(version) if WHOLE.fullmatch(version) else None,
@@ -117,7 +117,9 @@
     return frozenset(named)
 
 
-def _decode_prompt(inbound: Inbound, seen: dict[bytes, bytes]) -> Result[Inbound, str]:
+def _decode_prompt(
+    inbound: InboundRequest, seen: dict[bytes, bytes]
+) -> Result[InboundRequest, str]:
     usage = seen.get(names.TOKEN_USAGE)
     if usage is not None:
         read, comma, made = usage.partition(b",")
--- a/agaterail/story.py
+++ b/agaterail/requesttrace.py
@@ -11,13 +11,13 @@
     from collections.abc import Iterable
 
 # Left out of the shown fields: they are shown in front, or the same in each line.
-SHOWN_APART = frozenset({"timestamp", "host", "part", "event", "level", "request"})
+PREFIX_FIELDS = frozenset({"timestamp", "host", "part", "event", "level", "request"})
 # Lines without a request's id that may have decided about it.
-BELIEF_PARTS = frozenset({"state", "feeds", "weights", "fleet", "stop", "main"})
+STATE_PARTS = frozenset({"state", "feeds", "weights", "fleet", "stop", "main"})
 
 
 @attrs.frozen(order=True)
-class Line:
+class LogLine:
     """One log line."""
 
     timestamp: str
@@ -37,7 +37,7 @@
         return f"{self.timestamp} {self.host} {self.part}: {self.event} {pairs}".rstrip()
 
 
-def parse(raw: Iterable[str]) -> list[Line]:
+def parse_log_lines(raw: Iterable[str]) -> list[LogLine]:
     """Return the log lines in a text; whatever stands before a line's brace is left out."""
     lines = []
     for text in raw:
@@ -53,10 +53,10 @@
         fields = tuple(
             (name, value)
             for name, value in found.items()
-            if name not in SHOWN_APART and value is not None
+            if name not in PREFIX_FIELDS and value is not None
         )
         lines.append(
-            Line(
+            LogLine(
                 timestamp=str(found.get("timestamp", "")),
                 host=str(found.get("host", "")),
                 part=str(found.get("part", "")),
@@ -68,7 +68,7 @@
     return lines
 
 
-def story(lines: Iterable[Line], request_id: str, around_s: float) -> list[Line]:
+def trace_request(lines: Iterable[LogLine], request_id: str, around_s: float) -> list[LogLine]:
     """Return a request's lines with what its hosts came to believe around them.
 
     Parameters
@@ -78,23 +78,23 @@
         lines of belief are shown: those of its hosts, about its targets or none.
     """
     lines = list(lines)
-    own = sorted(line for line in lines if line.request == request_id)
-    if not own:
+    request_lines = sorted(line for line in lines if line.request == request_id)
+    if not request_lines:
         return []
-    hosts = {line.host for line in own}
-    targets = {line.target for line in own} | {""}
-    start = seconds_of_day(own[0].timestamp) - around_s
-    end = seconds_of_day(own[-1].timestamp)
-    beliefs = [
+    hosts = {line.host for line in request_lines}
+    targets = {line.target for line in request_lines} | {""}
+    start = seconds_of_day(request_lines[0].timestamp) - around_s
+    end = seconds_of_day(request_lines[-1].timestamp)
+    state_lines = [
         line
         for line in lines
         if not line.request
         and line.host in hosts
-        and line.part in BELIEF_PARTS
+        and line.part in STATE_PARTS
         and line.target in targets
         and start <= seconds_of_day(line.timestamp) <= end
     ]
-    return sorted([*own, *beliefs])
+    return sorted([*request_lines, *state_lines])
 
 
 def seconds_of_day(timestamp: str) -> float:
--- a/agaterail/util/greenlets.py
+++ b/agaterail/util/greenlets.py
@@ -22,8 +22,8 @@
     monkey.patch_all()
 
 
-def repeat(
-    step: Callable[[], object], logger: Any, sentence: str, pause_s: float, **fields: object
+def run_forever(
+    step: Callable[[], object], logger: Any, event: str, pause_s: float, **fields: object
 ) -> NoReturn:
     """Run a step again and again; one that raises is logged, and the next comes later.
 
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    sentence, fields
+    event, fields
         Log line for a step that raised.
     pause_s
         Seconds until the next step after one that raised.
@@ -41,5 +41,5 @@
         try:
             step()
         except Exception:
-            logger.exception(sentence, **fields)
+            logger.exception(event, **fields)
             gevent.sleep(pause_s)
--- a/agaterail/util/httpconn.py
+++ b/agaterail/util/httpconn.py
@@ -22,7 +22,7 @@
     from gevent.socket import socket as Socket  # noqa: N812
 
 POOL_SIZE = 4096
-READ_SIZE = 65536
+READ_BYTES = 65536
 
 
 @attrs.frozen
@@ -43,7 +43,7 @@
 SendError = ConnectFailed | ExchangeBroken
 
 
-class _FreshPool(ConnectionPool):
+class _ConnectionPool(ConnectionPool):
     """Pool that can hand out a connection that was never used before."""
 
     def fresh_socket(self) -> Socket:
@@ -60,8 +60,8 @@
         family = (
             gevent.socket.AF_INET6 if ":" in self._connection_host else gevent.socket.AF_INET
         )
-        place = (self._connection_host, self._connection_port)
-        return [(family, gevent.socket.SOCK_STREAM, gevent.socket.IPPROTO_TCP, "", place)]
+        sockaddr = (self._connection_host, self._connection_port)
+        return [(family, gevent.socket.SOCK_STREAM, gevent.socket.IPPROTO_TCP, "", sockaddr)]
 
     def after_connect(self, sock: Socket) -> None:
         """Turn off Nagle's algorithm: heads and bodies go out in one write."""
@@ -87,7 +87,7 @@
             if sock is None:
                 raise ConnectionResetError(errno.ECONNRESET, "connection closed")
             guard = self.guard
-            data = sock.recv(READ_SIZE) if guard is None else guard.read(READ_SIZE)
+            data = sock.recv(READ_BYTES) if guard is None else guard.read(READ_BYTES)
             if not data:
                 self.release()
                 raise ConnectionResetError(errno.ECONNRESET, "body cut short")
@@ -139,7 +139,7 @@
 
     def __init__(self, address: Address, connect_timeout_s: float = 1.0) -> None:
         self.address = address
-        self.pool = _FreshPool(
+        self.pool = _ConnectionPool(
             address.host,
             address.port,
             address.host,
@@ -190,7 +190,7 @@
             self.pool.release_socket(sock)
             raise
         try:
-            return Success(Response(sock, self.pool, block_size=READ_SIZE, method=method))
+            return Success(Response(sock, self.pool, block_size=READ_BYTES, method=method))
         except Exception as error:  # parse errors and socket errors; the response closed it
             return Failure(ExchangeBroken(str(error), isinstance(error, TimeoutError)))
 
--- a/tests/test_agaterail/test_gateway/test_cacheterms.py
+++ b/tests/test_agaterail/test_gateway/test_cacheterms.py
@@ -30,12 +30,14 @@
         self.asked = []
         self.saves = True
 
-    def terms(self, job, version=4, stores=STORES):
+    def terms(self, context, version=4, stores=STORES):
         def should_save(question):
             self.asked.append(question)
             return self.saves
 
-        return cache_terms(job, SimpleNamespace(weights_version=version), stores, should_save)
+        return cache_terms(
+            context, SimpleNamespace(weights_version=version), stores, should_save
+        )
 
     def test_a_plain_request_has_none(self):
         self.assertEqual(self.terms(make_job(prompted=False)), CacheTerms())
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -10,7 +10,7 @@
 from agaterail.gateway.controlstore import STORE, Feed
 from tests.gateway_fleet import BOUNDS, LLM, MODEL, Answer, Fleet, make_desired, read_all
 from tests.large_state import make_rows, make_state, with_row_changed
-from tests.test_agaterail.test_gateway.test_front import MALFORMED
+from tests.test_agaterail.test_gateway.test_httpserver import MALFORMED
 
 
 class DaemonTest(unittest.TestCase):
@@ -449,7 +449,7 @@
         self.assertLess(daemon.now() - started, 0.5)
         self.assertEqual(fleet.runs("e-0", "e-1"), [])
         self.assertEqual(fleet.ask("/unsafe/b", request_id="r2").status, 200)
-        self.assertIn(b"agaterail_refusal_chance 1.0", daemon.metrics.text(daemon))
+        self.assertIn(b"agaterail_refusal_chance 1.0", daemon.metrics.render(daemon))
 
     def test_finished_and_abandoned_prompts_leave_the_queue(self):
         # Each prompt must leave the queue when it ends. Otherwise the daemon would count
--- a/tests/test_agaterail/test_gateway/test_forwarder.py
+++ b/tests/test_agaterail/test_gateway/test_forwarder.py
@@ -7,16 +7,16 @@
 from agaterail.gateway.gracefulstop import GracefulStop
 from tests.gateway_fleet import LLM, PLAIN, Fleet
 
-WHOLE = [b"data: r1-%d" % number for number in range(1, 9)]
+ALL_EVENTS = [b"data: r1-%d" % number for number in range(1, 9)]
 # An engine that a stream has left may work on it for so long.
-LEFT_BEHIND_S = 0.4
+ABANDON_LIMIT_S = 0.4
 
 
 def refuse(fleet, other):
     other.refuse = True
 
 
-def vanish(fleet, other):
+def deregister(fleet, other):
     fleet.store.put("keyed.servers", other.instance, b"")
     book = fleet.daemons[0].book
     fleet.wait(lambda: other.instance not in book.targets)
@@ -43,9 +43,9 @@
 
 
 # What a request meets that is to go on at another target.
-OBSTACLES = {
+HEDGE_FAILURES = {
     "the other refuses": refuse,
-    "there is no other": vanish,
+    "there is no other": deregister,
     "the budget is used up": use_up_budget,
     "the other cannot be connected": stop_listening,
     "the other answers an error": answer_an_error,
@@ -77,61 +77,61 @@
         return self.fleet.ask("/resumed/x", stream=True)
 
 
-class SilentStreamTest(ForwarderTest):
-    def test_a_stream_that_pauses_is_whole_when_no_other_engine_takes_it_over(self):
+class HedgedStreamTest(ForwarderTest):
+    def test_a_paused_stream_completes_when_its_hedge_fails(self):
         """A pausing stream was left before its successor was found, and ended cut."""
-        for name, obstacle in OBSTACLES.items():
+        for name, failure in HEDGE_FAILURES.items():
             for stops_host in (False, True):
                 with self.subTest(name, stops_host=stops_host):
                     engine, other = self.start()
                     engine.pause_before = 4
-                    obstacle(self.fleet, other)
+                    failure(self.fleet, other)
                     answer = self.ask_stream(stops_host)
-                    self.assertEqual(answer.events, WHOLE)
+                    self.assertEqual(answer.events, ALL_EVENTS)
                     self.assertTrue(answer.whole_stream)
                     self.fleet.stop()
 
-    def test_a_late_first_event_comes_when_no_other_engine_takes_it_over(self):
+    def test_a_late_first_event_is_relayed_when_the_hedge_fails(self):
         """An engine that was slow to begin was left for one that refused."""
-        for name, obstacle in OBSTACLES.items():
+        for name, failure in HEDGE_FAILURES.items():
             with self.subTest(name):
                 engine, other = self.start()
                 engine.pause_before = 1
-                obstacle(self.fleet, other)
+                failure(self.fleet, other)
                 answer = self.ask_stream()
-                self.assertEqual(answer.events, WHOLE)
+                self.assertEqual(answer.events, ALL_EVENTS)
                 self.fleet.stop()
 
-    def test_a_stuck_stream_goes_on_at_another_engine_and_leaves_the_first(self):
+    def test_a_stuck_stream_resumes_at_another_engine_and_leaves_the_first(self):
         """A stuck engine must cost a stream a second, and no engine may work twice on it."""
         engine, other = self.start()
         engine.pause_before, engine.pause_s = 4, 5.0
         answer = self.ask_stream()
-        self.assertEqual(answer.events, WHOLE)
+        self.assertEqual(answer.events, ALL_EVENTS)
         self.assertEqual(other.runs[0].headers["last-event-id"], "3")
         self.fleet.wait(lambda: engine.runs[0].ended == "left")
-        self.assertLess(engine.runs[0].ended_at - other.runs[0].at, LEFT_BEHIND_S)
+        self.assertLess(engine.runs[0].ended_at - other.runs[0].at, ABANDON_LIMIT_S)
 
-    def test_an_engine_that_goes_on_first_keeps_the_stream(self):
+    def test_the_first_engine_to_send_keeps_the_stream(self):
         """Events of an engine were lost or mixed with those of the engine asked meanwhile."""
         engine, other = self.start()
         engine.pause_before = 4
         other.pause_before, other.pause_s = 0, 1.0
         answer = self.ask_stream()
-        self.assertEqual(answer.events, WHOLE)
+        self.assertEqual(answer.events, ALL_EVENTS)
         self.assertEqual(engine.runs[0].ended, "whole")
         self.assertEqual(other.runs[0].ended, "left")
 
-    def test_an_engine_that_breaks_while_another_is_asked_is_left(self):
+    def test_an_engine_that_breaks_during_a_hedge_is_left(self):
         """The stream waited for an engine that had gone."""
         engine, other = self.start()
         engine.pause_before = engine.break_after = 4
         other.pause_before, other.pause_s = 0, 0.6
         answer = self.ask_stream()
-        self.assertEqual(answer.events, WHOLE)
+        self.assertEqual(answer.events, ALL_EVENTS)
         self.assertEqual(other.runs[0].headers["last-event-id"], "3")
 
-    def test_nothing_works_for_a_caller_that_left_while_another_engine_was_asked(self):
+    def test_both_attempts_end_when_the_caller_leaves_during_a_hedge(self):
         """Two engines went on with a stream that nobody waited for."""
         engine, other = self.start()
         for target in (engine, other):
@@ -146,16 +146,16 @@
         self.assertEqual([target.in_flight for target in targets], [0] * len(targets))
 
 
-class SilentServiceTest(ForwarderTest):
-    def test_a_slow_answer_comes_when_no_other_target_answers(self):
+class HedgedServiceTest(ForwarderTest):
+    def test_a_slow_answer_is_relayed_when_the_hedge_fails(self):
         """A slow service was left for a target that refused; the caller got an error."""
-        for name, obstacle in OBSTACLES.items():
-            if obstacle is break_off:
+        for name, failure in HEDGE_FAILURES.items():
+            if failure is break_off:
                 continue
             with self.subTest(name):
                 target, other = self.start(PLAIN)
                 target.pause_before, target.pause_s = 0, 1.0
-                obstacle(self.fleet, other)
+                failure(self.fleet, other)
                 answer = self.fleet.ask("/safe/x")
                 self.assertEqual(
                     (answer.status, answer.body[:3]), (200, target.instance.encode())
@@ -170,15 +170,15 @@
 
 
 class FailedAnswerTest(ForwarderTest):
-    def test_a_target_s_own_failure_is_passed_on_when_no_other_answers(self):
+    def test_a_server_error_is_relayed_when_no_other_target_answers(self):
         """A target's whole failure was replaced by an error of ours."""
-        for name, obstacle in OBSTACLES.items():
-            if obstacle is break_off:
+        for name, failure in HEDGE_FAILURES.items():
+            if failure is break_off:
                 continue
             with self.subTest(name):
                 target, other = self.start(PLAIN)
                 target.error = True
-                obstacle(self.fleet, other)
+                failure(self.fleet, other)
                 answer = self.fleet.ask("/safe/x")
                 self.assertEqual((answer.status, answer.body), (500, b"failed"))
                 self.assertIn("server-stamp", answer.head)
@@ -186,7 +186,7 @@
 
 
 class RefusedTest(ForwarderTest):
-    def test_a_target_that_refused_is_left_alone_for_a_moment(self):
+    def test_a_refusal_pauses_the_target(self):
         """Its pause ends at once, as reading its refusal counts as a success."""
         engine, _ = self.start()
         engine.refuse = True
--- a/tests/test_agaterail/test_gateway/test_front.py
+++ b/tests/test_agaterail/test_gateway/test_httpserver.py
@@ -7,7 +7,7 @@
 import gevent.event
 
 from agaterail.gateway.desired import CallerLimits
-from agaterail.gateway.front import Front
+from agaterail.gateway.httpserver import HttpServer
 from agaterail.timers import GeventTimerService
 from agaterail.util.address import Address
 
@@ -38,16 +38,16 @@
 }
 
 
-class FrontTest(unittest.TestCase):
+class HttpServerTest(unittest.TestCase):
     def setUp(self):
         self.seen = []
         self.pause_s = 0.0
-        self.front = Front(
+        self.http_server = HttpServer(
             Address("127.0.0.1", 0), self.handle, lambda: LIMITS, GeventTimerService().now
         )
-        self.front.start()
-        self.port = self.front.server.server_port
-        self.addCleanup(self.front.server.stop, timeout=0)
+        self.http_server.start()
+        self.port = self.http_server.server.server_port
+        self.addCleanup(self.http_server.server.stop, timeout=0)
 
     def handle(self, inbound, caller):
         self.seen.append(inbound)
@@ -97,55 +97,55 @@
         body = b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         self.assertTrue(self.exchange(head + body).endswith(b"abcde"))
 
-    def test_requests_sent_ahead_are_answered_in_order(self):
+    def test_pipelined_requests_are_answered_in_order(self):
         one = b"POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\n1"
         two = b"POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nConnection: close\r\n\r\n2"
         answer = self.exchange(one + two)
         self.assertEqual([item.target for item in self.seen], [b"/1", b"/2"])
         self.assertLess(answer.index(b"\r\n\r\n1"), answer.index(b"\r\n\r\n2"))
 
-    def test_what_is_too_large_is_refused(self):
+    def test_too_large_heads_and_bodies_are_refused(self):
         self.assertIn(b" 431 ", self.exchange(HEAD + b"X: " + b"x" * 5000))
         body = HEAD + b"Content-Length: 30000\r\n\r\n" + b"x" * 30000
         self.assertIn(b" 413 ", self.exchange(body))
 
-    def test_a_head_that_trickles_in_is_ended(self):
+    def test_a_slow_request_head_times_out(self):
         self.assertIn(b" 408 ", self.exchange(HEAD))
 
     def test_an_idle_connection_is_closed_without_an_answer(self):
         self.assertEqual(self.exchange(b""), b"")
 
-    def test_a_request_that_has_arrived_is_answered_when_idle_ones_are_closed(self):
+    def test_a_request_in_the_socket_buffer_is_answered_when_idle_connections_close(self):
         # The host is throttled: the request lies in its socket buffer when the
         # stop closes idle connections. Closed unread, the caller would lose it
         # after it was passed on; this happened to requests of a roll.
         sock = self.connect()
         gevent.sleep(0.05)
         sock.sendall(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
-        self.front.begin_stop()
-        self.front.close_idle()
+        self.http_server.begin_stop()
+        self.http_server.close_idle()
         self.assertIn(b" 200 ", self.read_all(sock))
 
-    def test_an_idle_connection_ends_at_once_in_a_stop(self):
+    def test_a_stop_closes_idle_connections_at_once(self):
         sock = self.connect()
         gevent.sleep(0.05)
-        self.front.begin_stop()
-        self.front.close_idle()
+        self.http_server.begin_stop()
+        self.http_server.close_idle()
         sock.settimeout(0.3)
         self.assertEqual(self.read_all(sock), b"")
 
-    def test_a_request_under_way_is_not_cut_by_a_stop(self):
+    def test_a_stop_lets_a_request_in_flight_finish(self):
         self.pause_s = 0.2
         sock = self.connect()
         sock.sendall(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
         gevent.sleep(0.05)
-        self.front.begin_stop()
-        self.front.close_idle()
+        self.http_server.begin_stop()
+        self.http_server.close_idle()
         answer = self.read_all(sock)
         self.assertIn(b" 200 ", answer)
         self.assertIn(b"Connection: close", answer)
 
-    def test_nothing_follows_a_stream_that_was_begun_before_the_stop(self):
+    def test_no_request_follows_a_stream_that_started_before_the_stop(self):
         # The caller sends its next request on the connection of a stream that
         # ended seconds after SIGTERM. Taken then, it was cut by the process's
         # end; a connection that is closed unread is tried again elsewhere.
@@ -155,11 +155,11 @@
             gevent.sleep(0.2)
             caller.end_stream()
 
-        self.front.handle = handle
+        self.http_server.handle = handle
         sock = self.connect()
         sock.sendall(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
         gevent.sleep(0.1)
-        self.front.begin_stop()
+        self.http_server.begin_stop()
         answer = self.read_all(sock)
         self.assertTrue(answer.endswith(b"0\r\n\r\n"))
         self.assertNotIn(b"Connection: close", answer)
@@ -174,7 +174,7 @@
             caller._send = lambda data: (sent.append(data), send(data))
             caller.send_large_answer(200, [], b"x" * 9000)
 
-        self.front.handle = handle
+        self.http_server.handle = handle
         socks = [self.connect() for _ in range(3)]
         for sock in socks:
             sock.sendall(b"GET /news HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -187,7 +187,7 @@
             self.assertTrue(data.endswith(b"\r\n\r\n" + b"x" * 9000))
         self.assertEqual([data[:4] for data in sent], [b"HTTP"] * 3 + [b"xxxx"] * 3)
 
-    def test_a_caller_that_cannot_be_written_to_has_left(self):
+    def test_a_failed_write_to_the_caller_raises_caller_left(self):
         # A caller resets its connection in the middle of a stream. The error of
         # the write must not be taken for a broken target: the stream would be
         # run again, for nobody.
@@ -202,7 +202,7 @@
                 raised.append(type(error).__name__)
                 raise
 
-        self.front.handle = handle
+        self.http_server.handle = handle
         self.exchange(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
         self.assertEqual(raised, ["CallerLeft"])
 
@@ -216,7 +216,7 @@
                 ended.append(type(error).__name__)
                 raise
 
-        self.front.handle = handle
+        self.http_server.handle = handle
         sock = self.connect()
         sock.sendall(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
         gevent.sleep(0.05)
--- a/tests/test_agaterail/test_gateway/test_keptcontroller.py
+++ b/tests/test_agaterail/test_gateway/test_keptcontroller.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Success
 
 from agaterail.gateway import keptcontroller
-from agaterail.gateway.inbound import part_key
+from agaterail.gateway.inbound import normalize_part_name
 from agaterail.gateway.keptcontroller import KeptController, decode_question, encode_question
 from agaterail.gateway.keptparts import CacheChange, CacheFeed, CacheNews, SaveQuestion
 
@@ -117,7 +117,7 @@
                 self.kept.answer(bad)
 
     def test_names_of_parts_are_compared_as_numbers(self):
-        self.assertEqual(part_key("05E4335fcd0e"), "5e4335fcd0e")
+        self.assertEqual(normalize_part_name("05E4335fcd0e"), "5e4335fcd0e")
 
 
 if __name__ == "__main__":
--- a/tests/test_agaterail/test_gateway/test_logsink.py
+++ b/tests/test_agaterail/test_gateway/test_logsink.py
@@ -6,7 +6,7 @@
 import gevent
 import structlog
 
-from agaterail.gateway.logbudget import HostField, LogBudget
+from agaterail.gateway.logratelimit import HostField, LogRateLimiter
 from agaterail.gateway.logsink import LogSink
 
 
@@ -26,53 +26,53 @@
             except BlockingIOError:
                 return data
 
-    def test_a_reader_that_stalls_holds_nobody_up(self):
+    def test_a_stalled_reader_does_not_block_writes(self):
         # The log collector stops reading and the pipe fills. Callers would wait
         # for a blocking write; instead lines are dropped and counted, and whole
         # lines follow when the reader is back.
         line = "x" * 999 + "\n"
         for _ in range(200):
             self.sink.write(line)
-        self.assertGreater(self.sink.dropped_in_all, 0)
+        self.assertGreater(self.sink.dropped_total, 0)
         before = self.read_all()
         self.sink.write("back\n")
         self.sink.write("again\n")
         after = self.read_all()
         lines = (before + after).decode().splitlines()
         self.assertEqual(lines[-1], "again")
-        notes = [item for item in lines if "Log lines dropped." in item]
-        self.assertEqual(len(notes), 1)
-        self.assertTrue(all(item in (*notes, "back", "again", "x" * 999) for item in lines))
+        notices = [item for item in lines if "Log lines dropped." in item]
+        self.assertEqual(len(notices), 1)
+        self.assertTrue(all(item in (*notices, "back", "again", "x" * 999) for item in lines))
 
-    def test_a_reader_that_is_gone_holds_nobody_up(self):
+    def test_a_closed_reader_does_not_block_writes(self):
         reader, writer = os.pipe()
         sink = LogSink(writer)
         os.close(reader)
         # Under gevent a descriptor is closed with the loop's next turn.
         gevent.sleep(0.01)
         sink.write("line\n")
-        self.assertEqual(sink.dropped_in_all, 1)
+        self.assertEqual(sink.dropped_total, 1)
         os.close(writer)
 
 
-class LogBudgetTest(unittest.TestCase):
+class LogRateLimiterTest(unittest.TestCase):
     def setUp(self):
         self.time = 0.0
-        self.budget = LogBudget(lambda: self.time, lines_per_s=3)
+        self.limiter = LogRateLimiter(lambda: self.time, lines_per_s=3)
 
-    def passes(self, sentence):
+    def passes(self, event):
         try:
-            return self.budget(None, "info", {"event": sentence})
+            return self.limiter(None, "info", {"event": event})
         except structlog.DropEvent:
             return None
 
-    def test_routine_lines_never_take_the_place_of_failures(self):
+    def test_routine_lines_do_not_displace_failures(self):
         # Four times the usual callers: successes alone would fill the log.
         routine = [self.passes("Answered.") for _ in range(10)]
         self.assertEqual(sum(item is not None for item in routine), 3)
         self.assertIsNotNone(self.passes("Request failed."))
 
-    def test_what_was_left_out_is_counted_in_the_next_line(self):
+    def test_the_next_line_counts_suppressed_lines(self):
         for _ in range(10):
             self.passes("Answered.")
         self.time = 1.0
--- a/tests/test_agaterail/test_gateway/test_placement.py
+++ b/tests/test_agaterail/test_gateway/test_placement.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import Counter
 
-from agaterail.gateway.inbound import Inbound, PromptPart
+from agaterail.gateway.inbound import InboundRequest, PromptPart
 from agaterail.gateway.namedweights import NamedVersion, NamedWeights
 from agaterail.gateway.placement import (
     PlacementRules,
@@ -21,7 +21,7 @@
 def make_inbound(history="h1", tokens=6000):
     parts = (PromptPart("sys", 2000), PromptPart(history, tokens), PromptPart("own", 500))
     total = sum(part.tokens for part in parts)
-    return Inbound(
+    return InboundRequest(
         method=b"POST", target=b"/", headers=[], model="m", prompt=parts, prompt_tokens=total
     )
 
--- a/tests/test_agaterail/test_gateway/test_channel.py
+++ b/tests/test_agaterail/test_gateway/test_targetconnection.py
@@ -5,7 +5,7 @@
 
 import gevent.socket
 
-from agaterail.gateway.channel import AnswerBroken, Channel
+from agaterail.gateway.targetconnection import AnswerBroken, TargetConnection
 from agaterail.platform.requests import decode_answer_head
 
 
@@ -14,28 +14,28 @@
     return head % (request_id, len(body)) + body
 
 
-class ChannelTest(unittest.TestCase):
+class TargetConnectionTest(unittest.TestCase):
     def setUp(self):
         own, self.target = gevent.socket.socketpair()
         self.addCleanup(own.close)
         self.addCleanup(self.target.close)
-        self.channel = Channel(own, decode_answer_head, time.monotonic)
-        self.channel.send(b"GET / HTTP/1.1\r\n\r\n", b"", 1.0)
+        self.connection = TargetConnection(own, decode_answer_head, time.monotonic)
+        self.connection.send(b"GET / HTTP/1.1\r\n\r\n", b"", 1.0)
 
-    def test_another_request_s_late_answer_is_skipped(self):
+    def test_a_late_answer_to_another_request_is_skipped(self):
         # The doubled answer of an earlier request comes where ours is expected.
         # Without a look at its id the caller would get another caller's answer.
         self.target.sendall(answer(b"old", b"theirs") + answer(b"new", b"ours"))
-        head = self.channel.read_head("new", time.monotonic() + 1.0)
+        head = self.connection.read_head("new", time.monotonic() + 1.0)
         self.assertEqual(head.request_id, "new")
-        self.assertEqual(self.channel.read_body(time.monotonic() + 1.0), b"ours")
-        self.assertFalse(self.channel.finish())
+        self.assertEqual(self.connection.read_body(time.monotonic() + 1.0), b"ours")
+        self.assertFalse(self.connection.finish())
 
-    def test_an_answer_that_is_cut_is_not_whole(self):
+    def test_a_truncated_answer_raises_an_error(self):
         self.target.recv(100)  # read, so that the close is in order and no reset
         self.target.sendall(answer(b"new", b"ours")[:-2])
         self.target.close()
-        self.channel.read_head("new", time.monotonic() + 1.0)
+        self.connection.read_head("new", time.monotonic() + 1.0)
         with self.assertRaises(AnswerBroken):
-            while self.channel.read_body(time.monotonic() + 1.0):
+            while self.connection.read_body(time.monotonic() + 1.0):
                 pass
--- a/tests/test_agaterail/test_losses.py
+++ b/tests/test_agaterail/test_losses.py
@@ -5,7 +5,7 @@
 
 from agaterail.errors import ErrorKind
 from agaterail.losses import CAUSE_OF_KIND, DENIALS, Cause, cause_of, find_losses
-from agaterail.story import parse
+from agaterail.requesttrace import parse_log_lines
 
 
 def line(event, request="r1", at="09:52:20.5", **fields):
@@ -14,21 +14,21 @@
 
 
 class LossesTest(unittest.TestCase):
-    def test_requests_that_were_answered_in_time_are_no_loss(self):
+    def test_requests_answered_in_time_are_not_counted(self):
         for text in (
             line("Answered.", status=200, late=False),
             line("Stream complete.", events=9, late=False),
             line("Request failed.", kind="no_route"),
             line("Attempt failed.", outcome="silent"),
         ):
-            self.assertEqual(find_losses(parse([text]), 2), [])
+            self.assertEqual(find_losses(parse_log_lines([text]), 2), [])
 
     def test_groups_name_route_time_and_examples(self):
         texts = [
             line("Request failed.", f"r{n}", f"09:52:2{n}.0", kind="overloaded")
             for n in range(5)
         ]
-        (loss,) = find_losses(parse(texts), 2)
+        (loss,) = find_losses(parse_log_lines(texts), 2)
         self.assertEqual((loss.cause, loss.count, loss.route), (Cause.OVERLOAD, 5, "a"))
         start = 9 * 3600 + 52 * 60 + 20
         self.assertEqual(loss.by_slot, {start: 2, start + 2: 2, start + 4: 1})
@@ -37,10 +37,10 @@
     def test_the_largest_group_comes_first(self):
         texts = [line("Request failed.", kind="target_lost")]
         texts += [line("Stream cut.", left_s=0.01)] * 2
-        causes = [loss.cause for loss in find_losses(parse(texts), 2)]
+        causes = [loss.cause for loss in find_losses(parse_log_lines(texts), 2)]
         self.assertEqual(causes, [Cause.TIME_LIMIT, Cause.LOST_TARGET])
 
-    def test_each_end_has_its_cause(self):
+    def test_each_outcome_has_its_cause(self):
         late = {"late": True, "events": 5}
         for event, fields, cause in (
             ("Stream cut.", {"left_s": 2.0}, Cause.CUT),
@@ -48,7 +48,7 @@
             ("Caller left.", {"first_byte": True}, Cause.LEFT_STREAM),
             ("Answered.", {"status": 500, "late": False}, Cause.TARGET_FAILURE),
             ("Answered.", {"status": 200, "late": True}, Cause.LATE_PLAIN),
-            ("Stream complete.", late | {"sends": 2}, Cause.LATE_SECOND_TRY),
+            ("Stream complete.", late | {"sends": 2}, Cause.LATE_RETRY),
             ("Stream complete.", late | {"queue_ms": 300.0}, Cause.LATE_QUEUE),
             ("Stream complete.", late | {"rank": 2}, Cause.LATE_ELSEWHERE),
             ("Stream complete.", late | {"rank": 0}, Cause.LATE_HOME),
@@ -57,12 +57,12 @@
             with self.subTest(cause=cause):
                 self.assertIs(cause_of(event, fields), cause)
 
-    def test_the_kinds_are_those_that_the_gateway_writes(self):
+    def test_error_kinds_are_those_of_the_gateway(self):
         kinds = {kind.value for kind in ErrorKind}
         self.assertLessEqual(set(CAUSE_OF_KIND) | DENIALS, kinds)
 
-    def test_broken_lines_are_passed_over(self):
-        self.assertEqual(find_losses(parse(["", "{", "{}", "noise"]), 2), [])
+    def test_malformed_lines_are_skipped(self):
+        self.assertEqual(find_losses(parse_log_lines(["", "{", "{}", "noise"]), 2), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_agaterail/test_platform/test_requests.py
+++ b/tests/test_agaterail/test_platform/test_requests.py
@@ -4,7 +4,7 @@
 
 from returns.result import Success
 
-from agaterail.gateway.inbound import AttemptHead, Inbound, PromptPart
+from agaterail.gateway.inbound import AttemptHead, InboundRequest, PromptPart
 from agaterail.platform.requests import (
     decode_answer_head,
     decode_request,
@@ -24,7 +24,7 @@
 
 
 def make_inbound(headers=HEADERS, method=b"POST", body=b"xyz"):
-    return Inbound(method=method, target=b"/a/%2F?q", headers=list(headers), body=body)
+    return InboundRequest(method=method, target=b"/a/%2F?q", headers=list(headers), body=body)
 
 
 class DecodeRequestTest(unittest.TestCase):
@@ -128,7 +128,7 @@
             ],
         )
         self.assertEqual(head.headers, ((b"Server-Stamp", b"s"), (b"Weight-Versions", b"3")))
-        self.assertTrue(head.signed)
+        self.assertTrue(head.has_server_stamp)
         self.assertEqual(head.keep_alive_s, 7.0)
         self.assertEqual(head.weights_version, 3)
 
--- a/tests/test_agaterail/test_story.py
+++ b/tests/test_agaterail/test_requesttrace.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from agaterail.story import parse, story
+from agaterail.requesttrace import parse_log_lines, trace_request
 
 
 def line(second, host, event, part="forward", **fields):
@@ -12,7 +12,7 @@
     return f"  12.3 {host} " + json.dumps(found)
 
 
-class StoryTest(unittest.TestCase):
+class RequestTraceTest(unittest.TestCase):
     def setUp(self):
         self.texts = [
             line(5.2, "b", "Answered.", request="r1", target="t2"),
@@ -27,10 +27,10 @@
             '{"cut": ',
         ]
 
-    def test_the_lines_of_one_request_come_in_order_with_what_its_hosts_believed(self):
+    def test_a_trace_holds_request_and_state_lines_in_order(self):
         events = [
             (item.host, item.event, item.target)
-            for item in story(parse(self.texts), "r1", 2.0)
+            for item in trace_request(parse_log_lines(self.texts), "r1", 2.0)
         ]
         self.assertEqual(
             events,
@@ -42,9 +42,9 @@
             ],
         )
 
-    def test_an_unknown_request_has_none(self):
-        self.assertEqual(story(parse(self.texts), "r9", 2.0), [])
+    def test_the_trace_of_an_unknown_request_is_empty(self):
+        self.assertEqual(trace_request(parse_log_lines(self.texts), "r9", 2.0), [])
 
     def test_a_line_shows_its_fields(self):
-        shown = str(parse(self.texts)[4])
+        shown = str(parse_log_lines(self.texts)[4])
         self.assertTrue(shown.endswith("a state: Desired state in force. version=4"))
--- a/tests/test_agaterail/test_util/test_greenlets.py
+++ b/tests/test_agaterail/test_util/test_greenlets.py
@@ -5,11 +5,11 @@
 
 import gevent
 
-from agaterail.util.greenlets import repeat
+from agaterail.util.greenlets import run_forever
 
 
-class RepeatTest(unittest.TestCase):
-    def test_a_step_that_raises_is_logged_and_the_next_one_comes(self):
+class RunForeverTest(unittest.TestCase):
+    def test_a_step_that_raises_is_logged_and_the_next_one_runs(self):
         # A fault of ours in one step must not end what keeps the daemon current.
         logger = mock.Mock()
         steps = iter([None, ValueError("no"), None, gevent.GreenletExit()])
@@ -20,7 +20,7 @@
                 raise found
 
         with self.assertRaises(gevent.GreenletExit):
-            repeat(step, logger, "Raised.", 0.0, store="s")
+            run_forever(step, logger, "Raised.", 0.0, store="s")
         logger.exception.assert_called_once_with("Raised.", store="s")
         self.assertIsNone(next(steps, None))
 
--- a/tests/test_agaterail/test_wsgi.py
+++ b/tests/test_agaterail/test_wsgi.py
@@ -9,7 +9,7 @@
 
 from agaterail import errors
 from tests.support import LocalDaemon
-from tests.test_agaterail.test_gateway.test_front import MALFORMED
+from tests.test_agaterail.test_gateway.test_httpserver import MALFORMED
 from tests.tls import make_tls_files
 
 POST = b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer k\r\n"
