--- a/agaterail/gateway/attempt.py
+++ b/agaterail/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one target, up to its answer or its failure."""
+"""One attempt at a target, from sending the request to its answer or failure."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
     from agaterail.gateway.targetconnection import TargetConnection
 
 OK_STATUSES = range(200, 300)
-# Reading what has arrived already.
+# Only data that has already arrived is read.
 POLL_TIMEOUT_S = 0.005
 
 
 class Attempt:
-    """A request at one target, with what this daemon counts for it there.
+    """A request at one target and its share of the target's in-flight counters.
 
     Attributes
     ----------
     head
-        Head of the answer; None before it came.
+        Head of the answer; None until it arrives.
     body_parts
-        What was read of an answer that is passed on whole.
+        Parts read so far of a body that is relayed only when complete.
     buffered
-        Bytes of a stream that were taken in and not read yet.
+        Bytes of a stream that were polled but not relayed yet.
     has_events
-        An event of the stream was passed on.
+        Whether an event of the stream was relayed.
     last_event_at
-        Time of the newest event.
+        Time of the latest event.
     """
 
     def __init__(
@@ -66,21 +66,21 @@
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether the target answers with events."""
+        """Return whether the target answers with an event stream."""
         head = self.head
         if head is None or self.context.route.kind is not RequestKind.STREAM:
             return False
         return head.has_server_stamp and head.status in OK_STATUSES
 
     def read_head(self, deadline: float) -> AnswerHead:
-        """Wait for the head of the answer, if it was not read yet.
+        """Return the head of the answer, waiting for it if necessary.
 
         Raises
         ------
         TimeoutError
-            If it has not come by the deadline.
+            If the head does not arrive by the deadline.
         OSError
-            If the connection broke or what came is no answer.
+            If the connection fails or the data is not a valid answer.
         """
         if self.head is None:
             self.head = self.connection.read_head(self.context.inbound.request_id, deadline)
@@ -88,39 +88,39 @@
         return self.head
 
     def read_rest(self, deadline: float) -> bytes:
-        """Return the whole body; what was read before an error is kept for the next call.
+        """Return the complete body; after an error, the next call continues reading.
 
         Raises
         ------
         TimeoutError
-            If it has not come by the deadline.
+            If the body does not arrive by the deadline.
         OSError
-            If the body was cut short.
+            If the body is truncated.
         """
         while data := self.connection.read_body(deadline):
             self.body_parts.append(data)
         return b"".join(self.body_parts)
 
     def read_body(self, deadline: float) -> bytes:
-        """Return the next bytes of a stream, or nothing at its end.
+        """Return the next bytes of a stream, or empty bytes at its end.
 
         Raises
         ------
         TimeoutError
-            If nothing has come by the deadline.
+            If no data arrives by the deadline.
         OSError
-            If the stream was cut short.
+            If the stream is truncated.
         """
         buffered, self.buffered = self.buffered, b""
         return buffered or self.connection.read_body(deadline)
 
     def poll_events(self, splitter: EventSplitter) -> bool:
-        """Take in what has come of a stream; tells whether a whole event or its end has.
+        """Buffer arrived data; return whether a complete event or the end is there.
 
         Raises
         ------
         OSError
-            If the stream was cut short.
+            If the stream is truncated.
         """
         try:
             data = self.connection.read_body(self.daemon.now() + POLL_TIMEOUT_S)
@@ -130,7 +130,7 @@
         return not data or splitter.completes_event(self.buffered)
 
     def record_events(self, count: int) -> None:
-        """Take in that events were passed on."""
+        """Record that events were relayed."""
         now = self.daemon.now()
         if self.has_events:
             self.daemon.shedder_of(self.context.service).pace.note(
@@ -142,12 +142,12 @@
         self.last_event_at = now
 
     def finish(self, healthy: bool = True) -> None:
-        """Keep the channel, as the answer was read whole.
+        """Release the connection for reuse after the answer was read completely.
 
         Parameters
         ----------
         healthy
-            The answer shows that the target is well.
+            Whether the answer resets the target's failures and pause.
         """
         if self._end():
             if healthy:
@@ -155,7 +155,7 @@
             self.daemon.channels.release(self.target, self.connection)
 
     def abandon(self) -> None:
-        """Close the channel at once, so that the target stops working."""
+        """Close the connection at once, so that the target stops working."""
         if self._end():
             self.connection.close()
 
--- a/agaterail/gateway/retrystate.py
+++ b/agaterail/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""What to do after an attempt at a target failed."""
+"""Retry state of one request: what was tried, and whether to try another target."""
 
 from __future__ import annotations
 
@@ -12,47 +12,47 @@
 if TYPE_CHECKING:
     from agaterail.gateway.desired import Route
 
-# Below this a target cannot answer before the caller leaves.
+# With less time left, no target can answer before the caller gives up.
 MIN_TIME_LEFT_S = 0.02
-# A second target is asked when the first has been silent for this part of the
-# time that is left, but for a stream not before this many objectives: a full
-# engine answers late, and a second copy of the request would make it later.
+# Without a first byte, a second target is tried after this fraction of the time
+# left. A stream waits for at least this many latency objectives: a full engine
+# answers late, and a second copy of the request would delay it further.
 FIRST_BYTE_TIMEOUT_FRACTION = 0.4
 MIN_FIRST_EVENT_TIMEOUT_OBJECTIVES = 2.0
-# Callers leave a stream that pauses for too long; another target is asked while it
-# can still continue it in time.
+# Callers abandon a stream that pauses for too long, so another target is tried while
+# it can still resume the stream in time.
 MIN_EVENT_TIMEOUT_S = 1.0
 EVENT_TIMEOUT_OBJECTIVES = 2.0
-# Connections that could not be made cost no arrival at a target, only time.
+# A failed connect puts no load on a target; it only costs time.
 MAX_CONNECT_FAILURES = 3
-# A target that refuses is full or loading, and so soon are the others when all
-# callers' requests are passed around among them.
+# A target refuses when it is full or loading weights. Passing every refused request
+# on to further targets would soon fill those too.
 MAX_REFUSALS = 3
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt ended short of a whole, good answer."""
+    """How an attempt ended without a complete, successful answer."""
 
     NOT_CONNECTED = "not_connected"
-    REFUSED = "refused"  # the target said that it did not run the request
-    FAILED = "failed"  # the target's own failure, a whole answer
-    BROKEN = "broken"  # sent, and no whole answer came
-    SILENT = "silent"  # sent, and nothing came in time
-    NOT_NEEDED = "not_needed"  # sent, and the attempt before it went on after all
+    REFUSED = "refused"  # the target reported that it did not run the request
+    FAILED = "failed"  # the target sent a complete error answer
+    BROKEN = "broken"  # sent, but the answer never arrived completely
+    SILENT = "silent"  # sent, but timed out without data
+    NOT_NEEDED = "not_needed"  # sent as a hedge, but the first attempt resumed
 
 
 @attrs.define
 class RetryState:
-    """What was tried for one request so far.
+    """The attempts made for one request so far.
 
     Attributes
     ----------
     tried
-        Targets that are not asked again.
+        Targets that are not tried again.
     may_have_run
-        Targets that may have run the request, those that it is at included.
+        Targets that may have run the request, including those of open attempts.
     sends
-        Arrivals at targets, refused ones included.
+        Number of times the request was sent to a target, including refused sends.
     """
 
     route: Route
@@ -65,17 +65,17 @@
 
     @property
     def runs(self) -> int:
-        """Return how many targets may have run the request."""
+        """Return the number of targets that may have run the request."""
         return len(self.may_have_run)
 
     def record_send(self, instance: str) -> None:
-        """Take in that the request is sent to a target."""
+        """Record that the request is being sent to a target."""
         self.sends += 1
         self.tried.add(instance)
         self.may_have_run.add(instance)
 
     def record_outcome(self, instance: str, outcome: AttemptOutcome) -> None:
-        """Take in how an attempt ended."""
+        """Record how an attempt ended."""
         self.tried.add(instance)
         self.last_outcome = outcome
         if outcome is AttemptOutcome.NOT_CONNECTED:
@@ -87,10 +87,10 @@
             self.may_have_run.add(instance)
 
     def may_try_another(self, left_s: float) -> bool:
-        """Tell whether another target may be asked, the budget apart.
+        """Return whether another target may be tried, regardless of the retry budget.
 
-        Once a target may have run the request, only an idempotent one goes on,
-        up to the route's number of targets.
+        Once a target may have run the request, only idempotent requests are retried,
+        up to the route's maximum number of attempts.
         """
         if left_s < MIN_TIME_LEFT_S:
             return False
@@ -103,10 +103,10 @@
         )
 
     def first_byte_timeout_s(self, left_s: float) -> float:
-        """Return how long to wait for the first byte before another target is asked.
+        """Return how long to wait for the first byte before trying another target.
 
-        Without another target to ask, silence is no reason to end anything:
-        the whole time is waited.
+        If no other target may be tried, giving up early gains nothing, so this is
+        all the time left.
         """
         if not self.may_run_again():
             return left_s
@@ -118,7 +118,7 @@
         return min(left_s, timeout_s)
 
     def event_timeout_s(self, left_s: float) -> float:
-        """Return how long to wait for a stream's next event."""
+        """Return how long to wait for the next event before trying another target."""
         if not self.may_run_again():
             return left_s
         return min(
@@ -127,7 +127,7 @@
         )
 
     def error_kind(self) -> ErrorKind:
-        """Return the kind of error for a request that nothing more is tried for."""
+        """Return the kind of error to answer when no further attempt is made."""
         if not self.runs:
             if self.last_outcome is AttemptOutcome.REFUSED:
                 return ErrorKind.TARGET_REFUSED
@@ -137,5 +137,5 @@
         return ErrorKind.TARGET_LOST
 
     def may_run_again(self) -> bool:
-        """Tell whether one more target may run the request beside the one that it is at."""
+        """Return whether one more target may run the request besides the current one."""
         return self.route.idempotent and max(1, self.runs) < self.route.max_attempts
--- a/agaterail/gateway/forwarder.py
+++ b/agaterail/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Send a request to targets until one answers, and pass the answer on."""
+"""Send a request to targets until one answers, and relay the answer to the caller."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import attrs
 
 from agaterail.errors import Failure
+from agaterail.gateway.attempts import MIN_TIME_LEFT_S, AttemptOutcome
 from agaterail.gateway.eventstream import EventSplitter
-from agaterail.gateway.retrystate import MIN_TIME_LEFT_S, AttemptOutcome
 from agaterail.gateway.sender import Sender
 from agaterail.gateway.targetconnection import wait_readable
 
@@ -18,40 +18,41 @@
     from agaterail.gateway.inbound import AnswerHead
     from agaterail.gateway.requestcontext import RequestContext
 
-# A head of which a part has come is whole soon, or its target has failed.
+# Once part of a head has arrived, the rest follows soon or the target has failed.
 HEAD_TIMEOUT_S = 0.1
-# Statuses that promise to callers that the request did not run. A target that
-# sends one without saying so in its protocol's form may have run it.
+# Statuses that tell callers that the request did not run. A target that sends one
+# without its protocol's not-run marker may have run it all the same.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 MIN_SERVER_ERROR_STATUS = 500
 
 
 @attrs.frozen
 class BufferedAnswer:
-    """A target's answer that is passed on in one piece."""
+    """A target's complete answer, read before any of it is relayed."""
 
     head: AnswerHead
     body: bytes
 
 
 class Forwarder:
-    """The attempts of one request.
+    """Runs the attempts of one request and relays the answer.
 
-    A silent target is left only when another one answers: most that could take over
-    may refuse or fail, while the silent one still has the whole answer.
+    A silent target is abandoned only once a hedge, the same request at another target,
+    answers: the hedge may be refused or fail while the silent target still completes
+    the answer.
 
     Attributes
     ----------
     attempt
-        The one that the answer is read from.
+        The attempt that the answer is read from.
     hedge
-        One that was sent while the first is silent.
+        A second attempt, started while the first is silent.
     splitter
-        Passes on each event of a stream once, whichever target sends it.
+        Relays each event of a stream once, whichever target sends it.
     target_failure
-        A target's own failure, for the caller if no other target answers.
+        An error answer of a target, relayed if no other target answers.
     answer_started
-        Something of an answer was sent to the caller.
+        Whether part of an answer was sent to the caller.
     """
 
     def __init__(self, daemon: Daemon, context: RequestContext) -> None:
@@ -69,7 +70,7 @@
         self.answer_started = False
 
     def run(self) -> Failure | None:
-        """Answer the request; returns why it failed if nothing was sent yet."""
+        """Answer the request; return the failure if nothing was sent to the caller."""
         try:
             while True:
                 started = self.sender.start_attempt(self._last_event_id())
@@ -89,7 +90,8 @@
         if not self.answer_started:
             return failure
         self._record_stream_length()
-        # Part of a stream is with the caller; without its end it is plainly cut.
+        # The caller has part of the stream. Closing the connection without the final
+        # chunk shows that the stream is incomplete.
         self.context.caller.abort()
         self.context.truncated = True
         self.sender.log(
@@ -102,10 +104,10 @@
         )
         return None
 
-    # Reading.
+    # Reading answers.
 
     def _relay_answer(self, attempt: Attempt) -> bool:
-        """Read on until an answer has ended; tells whether one was passed on."""
+        """Relay until the answer ends; return whether a complete one was relayed."""
         self._switch_to(attempt)
         while True:
             current = self.attempt
@@ -117,7 +119,7 @@
                     continue
                 outcome = AttemptOutcome.SILENT
             except OSError as error:
-                self.sender.log("Attempt broke.", error=str(error))
+                self.sender.log("Connection to the target failed.", error=str(error))
                 outcome = AttemptOutcome.BROKEN
             if outcome is None:
                 return True
@@ -125,7 +127,7 @@
             return False
 
     def _switch_to(self, attempt: Attempt) -> None:
-        """Read the answer from an attempt from now on."""
+        """Continue reading the answer from the given attempt."""
         if attempt is not self.attempt:
             self.splitter.discard_partial()
         self.attempt, self.hedge = attempt, None
@@ -133,7 +135,7 @@
         self.context.target = attempt.instance
 
     def _relay_from(self, attempt: Attempt) -> AttemptOutcome | None:
-        """Pass an answer on; returns how the attempt failed, or nothing at its end."""
+        """Relay an attempt's answer; return how it failed, or None when complete."""
         now = self.daemon.now()
         timeout_s = self.retry_state.first_byte_timeout_s(self.context.deadline - now)
         head = attempt.read_head(now + timeout_s)
@@ -145,18 +147,18 @@
         return self._relay_buffered(attempt, head)
 
     def _check_head(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
-        """Return why an answer is of no use to the caller; nothing if it may be."""
+        """Return the outcome that rules an answer out, or None if it can be relayed."""
         if head.not_run:
             return AttemptOutcome.REFUSED
         if attempt.is_stream:
             return None
-        # A stream that has begun can only go on with events.
+        # A stream that has started can only continue with events.
         if self.answer_started or not head.has_server_stamp or head.status in NOT_RUN_STATUSES:
             return AttemptOutcome.FAILED
         return None
 
     def _relay_buffered(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
-        """Read a whole answer, then send it; half an answer is never passed on."""
+        """Read the complete answer before sending it, so that no part of one is sent."""
         answer = BufferedAnswer(head, attempt.read_rest(self.context.deadline))
         failed = head.status >= MIN_SERVER_ERROR_STATUS
         if failed and self.retry_state.may_run_again():
@@ -168,7 +170,7 @@
         return None
 
     def _relay_stream(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
-        """Pass events on as they come."""
+        """Relay events as they arrive."""
         while True:
             now = self.daemon.now()
             left = self.context.deadline - now
@@ -201,13 +203,13 @@
         )
         return None
 
-    # A silent target and another one beside it.
+    # Hedging a silent target.
 
     def _send_hedge(self, silent: Attempt) -> bool:
         """Send to further targets until one of them or the silent one answers.
 
-        Returns whether there is an attempt to read on from; it is the silent one if no
-        other target could be asked.
+        Returns whether there is an attempt to keep reading from: the silent one if no
+        other target could be tried.
         """
         if self._time_left_s() < MIN_TIME_LEFT_S:
             return False
@@ -216,19 +218,19 @@
             started = self.sender.start_attempt(self._last_event_id())
             if isinstance(started, Failure):
                 self._switch_to(silent)
-                self.sender.log("Silent target kept.", reason=started.detail)
+                self.sender.log("No hedge possible, waiting on.", reason=started.detail)
                 return True
             self.hedge = started
-            self.sender.log("Another target is asked.", silent=silent.instance)
+            self.sender.log("Sent a hedge to another target.", silent=silent.instance)
             if self._await_either_answer(silent, started):
                 return True
         return False
 
     def _await_either_answer(self, silent: Attempt, hedge: Attempt) -> bool:
-        """Wait for an answer of either target; tells whether one of them goes on."""
+        """Wait for either target to answer; return whether one of them continues."""
         connections = (hedge.connection, silent.connection)
         while ready := wait_readable(connections, self._time_left_s()):
-            # once the hedge runs, the silent one must not go on beside it.
+            # Once the hedge answers, the silent target must not keep working too.
             if hedge.connection in ready:
                 return self._check_hedge(silent, hedge)
             outcome = self._check_progress(silent)
@@ -254,7 +256,7 @@
         return True
 
     def _check_progress(self, attempt: Attempt) -> AttemptOutcome | None:
-        """Take in what a target sent; returns how it failed, or nothing if it goes on."""
+        """Read what a target has sent; return how it failed, or None if it continues."""
         deadline = min(self.context.deadline, self.daemon.now() + HEAD_TIMEOUT_S)
         try:
             if attempt.is_stream:
@@ -269,7 +271,9 @@
                 return outcome
             self.target_failure = BufferedAnswer(head, attempt.read_rest(deadline))
         except OSError as error:
-            self.sender.log("Attempt broke.", attempt.choice, error=str(error))
+            self.sender.log(
+                "Connection to the target failed.", attempt.choice, error=str(error)
+            )
             return AttemptOutcome.BROKEN
         return AttemptOutcome.FAILED
 
@@ -284,8 +288,7 @@
         last = self.splitter.last_id
         return self.context.inbound.last_event_id if last is None else str(last)
 
-    # The caller.
-
+    # Writing to the caller.
     def _send_whole(self, answer: BufferedAnswer) -> None:
         self._mark_answer_started()
         self.context.caller.send_answer(
--- a/agaterail/gateway/sender.py
+++ b/agaterail/gateway/sender.py
@@ -1,4 +1,4 @@
-"""Send a request to the next target, and take in how each attempt ended."""
+"""Start attempts at targets and record how each one ends."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from agaterail.errors import ErrorKind, Failure
 from agaterail.gateway.admission import is_hopeless, retry_after_s
 from agaterail.gateway.attempt import Attempt
+from agaterail.gateway.attempts import AttemptOutcome
 from agaterail.gateway.inbound import AttemptHead
-from agaterail.gateway.retrystate import AttemptOutcome
 
 if TYPE_CHECKING:
     from agaterail.gateway.daemon import Daemon
@@ -21,22 +21,23 @@
 
 logger = logs.get_logger("forward")
 
-# A host that does not answer a connection at all is without power, frozen or
-# cut off; hosts are some milliseconds apart.
+# Hosts are a few milliseconds apart. One that does not complete a connect in this
+# time has lost power, is frozen or is partitioned.
 CONNECT_TIMEOUT_S = 0.3
 CONNECT_TIMEOUT_FRACTION = 0.25
-# The answer needs its time back to the caller: a few milliseconds of network,
-# and the event loop's pauses on a busy host.
+# Time for the answer to reach the caller: a few milliseconds of network latency
+# plus event loop pauses on a busy host.
 RETURN_MARGIN_S = 0.02
 
 
 class Sender:
-    """Chooses targets for one request, sends it to them, and settles its attempts.
+    """Chooses targets for one request, sends it to them and ends its attempts.
 
     Attributes
     ----------
     choice
-        The newest choice, sent to or not; None before the first.
+        The latest choice, whether or not the request was sent there; None before
+        the first.
     """
 
     def __init__(self, daemon: Daemon, context: RequestContext) -> None:
@@ -46,12 +47,12 @@
         self.choice: Choice | None = None
 
     def start_attempt(self, last_event_id: str) -> Attempt | Failure:
-        """Send the request to the next target, or tell why there is none.
+        """Send the request to the next target, or return why that is not possible.
 
         Parameters
         ----------
         last_event_id
-            Id of the event after which a stream is to go on; empty for the start.
+            Id of the event after which a stream resumes; empty for the start.
         """
         while True:
             opened = self._connect_to_next()
@@ -63,7 +64,7 @@
                 return attempt
 
     def end_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Take in how an attempt ended and let go of its channel."""
+        """Record how an attempt ended, then close or release its connection."""
         self._record_outcome(attempt.instance, outcome)
         if outcome is AttemptOutcome.REFUSED:
             self._handle_refusal(attempt)
@@ -86,7 +87,7 @@
         try:
             attempt.read_rest(self.daemon.now() + CONNECT_TIMEOUT_S)
         except OSError as error:
-            self.log("Refusal was cut short.", attempt.choice, error=str(error))
+            self.log("Could not read the rest of a refusal.", attempt.choice, error=str(error))
             attempt.abandon()
             return
         attempt.finish()
@@ -96,7 +97,7 @@
         self.daemon.metrics.attempts.labels(outcome.value).inc()
 
     def log(self, event: str, choice: Choice | None = None, **fields: object) -> None:
-        """Write a line on a decision; about the newest choice, if not another."""
+        """Log a decision about the given choice, by default the latest one."""
         context = self.context
         choice = choice or self.choice
         logger.info(
@@ -122,7 +123,7 @@
         )
 
     def _outdated_weights_fields(self, choice: Choice | None) -> dict[str, object]:
-        """Return what is believed of outdated weights at the chosen target."""
+        """Return log fields about outdated weights at the chosen target, if any."""
         named = None if choice is None else choice.outdated_by
         if named is None:
             return {}
@@ -133,12 +134,12 @@
         }
 
     def _connect_to_next(self) -> tuple[Choice, TargetConnection] | Failure:
-        """Connect to the next target, or tell why there is none."""
+        """Connect to the next target, or return why that is not possible."""
         while True:
             now = self.daemon.now()
             left = self.context.deadline - now
             if not self.retry_state.may_try_another(left):
-                return self._give_up(now, "no attempt left")
+                return self._give_up(now, "no attempts left")
             choice = self.daemon.choose(self.context, now)
             if choice is None:
                 return self._give_up(now, "no usable target")
@@ -157,7 +158,7 @@
                 self.context.service, now
             ):
                 self.daemon.channels.release_unused(choice.target, connection)
-                return self._give_up(now, "no repeat left in the budget")
+                return self._give_up(now, "retry budget exhausted")
             return choice, connection
 
     def _connect(self, choice: Choice, left: float, now: float) -> TargetConnection | None:
@@ -168,11 +169,11 @@
         except OSError as error:
             choice.target.note_failure(now)
             self._record_outcome(choice.target.instance, AttemptOutcome.NOT_CONNECTED)
-            self.log("No connection.", error=str(error))
+            self.log("Could not connect to the target.", error=str(error))
             return None
 
     def _check_overload(self, now: float) -> Failure | None:
-        """Refuse a prompt that would make others late, before it was sent anywhere."""
+        """Shed a prompt that was not sent yet if the service is overloaded."""
         if not self.context.route.prompted or self.retry_state.sends:
             return None
         random = self.daemon.random
@@ -195,11 +196,11 @@
                 *self._encode(choice, left, last_event_id), timeout_s=max(0.001, left)
             )
         except OSError as error:
-            self.log("Attempt broke.", error=str(error))
+            self.log("Connection to the target failed.", error=str(error))
             self.end_attempt(attempt, AttemptOutcome.BROKEN)
             return None
         except BaseException:
-            # The caller left; nobody else knows of this attempt yet.
+            # The caller left; no one else holds a reference to this attempt yet.
             attempt.abandon()
             raise
         return attempt
