--- a/agaterail/cmd/gateway.py
+++ b/agaterail/cmd/gateway.py
@@ -15,7 +15,7 @@
 from agaterail import logs
 from agaterail.gateway.daemon import Daemon, boottime_s
 from agaterail.gateway.gracefulstop import GracefulStop
-from agaterail.gateway.logratelimit import HostField, LogRateLimiter
+from agaterail.gateway.logbudget import HostField, LogRateLimiter
 from agaterail.gateway.logsink import LogSink
 from agaterail.gateway.metrics import start_metrics
 from agaterail.gateway.startuptimer import StartupTimer
@@ -37,21 +37,21 @@
 def gateway(
     settings_file: str = "", started_at: float | None = None, processor_at: float = 0.0
 ) -> int:
-    """Run the gateway until SIGTERM; returns the exit status.
+    """Run the gateway until SIGTERM; return the exit status.
 
     Parameters
     ----------
     started_at
-        Time at which the process began to import; that of the call if not said.
+        Boot-clock time at which the process started importing; by default now.
     processor_at
-        Processor time of the process at that moment, in seconds.
+        CPU time that the process had used by then, in seconds.
     """
     start_time = boottime_s() if started_at is None else started_at
     startup_timer = StartupTimer(start_time, processor_at, boottime_s)
     path = settings_file or os.environ.get(names.SETTINGS_VARIABLE, "")
     if not path:
         print(
-            f"--settings-file ({names.SETTINGS_VARIABLE}): no settings file is named.",
+            f"--settings-file ({names.SETTINGS_VARIABLE}): no settings file given.",
             file=sys.stderr,
         )
         return EXIT_USAGE
@@ -84,7 +84,8 @@
     gevent.signal_handler(signal.SIGTERM, stopping.set)
     gevent.signal_handler(signal.SIGINT, stopping.set)
     gevent.signal_handler(signal.SIGHUP, _on_reload)
-    # What the start has made stays for good; the collector need not look at it.
+    # Objects created so far live as long as the process, so exclude them from
+    # garbage collection.
     gc.freeze()
     startup_timer.log_stage(
         "Started.", host=settings.host, boot=daemon.boot, domain=settings.domain
@@ -100,6 +101,6 @@
 
 
 def _on_reload() -> None:
-    # Addresses and limits of a running process do not change with the file;
-    # what operators change comes through the store.
-    logger.info("Reload asked for; the settings of a running process stay.")
+    # A running process keeps its addresses and limits. Whatever operators change at
+    # run time comes through the store.
+    logger.info("Ignored SIGHUP, since settings are read only at startup.")
--- a/agaterail/cmd/losses.py
+++ b/agaterail/cmd/losses.py
@@ -1,4 +1,4 @@
-"""The ``losses`` command: why requests got no whole answer in time."""
+"""The ``losses`` command: why requests got no complete answer in time."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 def print_losses(paths: Sequence[str], slot_s: int) -> int:
-    """Print the losses in logs, the largest group first; returns the exit status."""
+    """Print the losses found in logs, largest group first; return the exit status."""
     if slot_s < 1:
-        print("--slot: at least one second.", file=sys.stderr)
+        print("--slot: must be at least one second.", file=sys.stderr)
         return USAGE_ERROR
     texts = read_logs(paths)
     if texts is None:
--- a/agaterail/cmd/story.py
+++ b/agaterail/cmd/story.py
@@ -1,4 +1,4 @@
-"""The ``story`` command: one request's log lines in the order of time."""
+"""The ``story`` command: trace one request through the log lines of several hosts."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 def print_trace(request_id: str, paths: Sequence[str], around_s: float) -> int:
-    """Print a request's story; returns the exit status."""
+    """Print the trace of a request; return the exit status."""
     if not request_id:
-        print("Name a request id.", file=sys.stderr)
+        print("A request id is required.", file=sys.stderr)
         return USAGE_ERROR
     texts = read_logs(paths)
     if texts is None:
         return USAGE_ERROR
     found = trace_request(parse_log_lines(texts), request_id, around_s)
     if not found:
-        print(f"No line names the request {request_id}.", file=sys.stderr)
+        print(f"No log lines found for request {request_id}.", file=sys.stderr)
         return NOT_FOUND
     for line in found:
         print(line)
@@ -33,7 +33,7 @@
 
 
 def read_logs(paths: Sequence[str]) -> list[str] | None:
-    """Return the lines of log files, or of standard input; None if one cannot be read."""
+    """Return the lines of log files or standard input; None if a file is unreadable."""
     if not paths:
         return sys.stdin.read().splitlines()
     texts: list[str] = []
--- a/agaterail/gateway/__init__.py
+++ b/agaterail/gateway/__init__.py
@@ -1,6 +1,7 @@
-"""The daemon that routes plain HTTP requests whose prompts are named by parts.
+"""The daemon that routes plain HTTP requests whose callers name the parts of prompts.
 
-Decisions are modules without I/O (:mod:`desired`, :mod:`freshness`,
+Decisions are made by modules without I/O (:mod:`desired`, :mod:`freshness`,
 :mod:`targets`, :mod:`placement`, :mod:`retrybudget`, :mod:`attempts`,
-:mod:`rollout`); :mod:`front`, :mod:`upstream` and the controllers do the I/O.
+:mod:`weightsplan`). The I/O is in :mod:`httpserver`, :mod:`targetconnection` and the
+controllers.
 """
--- a/agaterail/gateway/__main__.py
+++ b/agaterail/gateway/__main__.py
@@ -1,7 +1,7 @@
 """Run the gateway with ``python -m agaterail.gateway``.
 
-Hosts start it so: importing the whole command line takes half as long again,
-and a restarted daemon serves nobody until then.
+Hosts use this entry point because importing the whole command line takes 50% longer,
+and a restarting daemon serves no requests until its imports are done.
 """
 
 from __future__ import annotations
--- a/agaterail/gateway/channels.py
+++ b/agaterail/gateway/channels.py
@@ -1,4 +1,4 @@
-"""Kept connections to targets."""
+"""Pool of idle keep-alive connections to targets."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     from agaterail.gateway.inbound import AnswerHead
     from agaterail.gateway.targets import Target
 
-# A kept connection that its target is about to close may break while a request
-# is on its way, and nobody knows then whether it ran. For requests that must
-# not run twice only the first part of the announced time is used.
+# If the target closes an idle connection while a request is on its way, it is unknown
+# whether the request ran. Connections are therefore reused only for this fraction of
+# the announced keep-alive timeout, a smaller one for at-most-once requests.
 IDEMPOTENT_KEEP_ALIVE_FRACTION = 0.8
 AT_MOST_ONCE_KEEP_ALIVE_FRACTION = 0.5
-# Targets that announce no time close idle connections after seconds as a rule.
+# Targets that announce no timeout usually close idle connections after a few seconds.
 DEFAULT_KEEP_ALIVE_S = 2.0
-# A target without power answers nothing, and a request on a kept connection to
-# it waits in vain; one that must not run twice is lost with that. So a kept
-# connection is used only if the target was heard of lately. A new one proves
-# by its handshake, a millisecond, that somebody is there.
+# On an idle connection to a host that lost power, a request waits until it times out,
+# and an at-most-once request is lost, since it cannot be retried. So an idle connection
+# is reused only if the target sent data within this time. Otherwise a new connection
+# is made, whose handshake shows within a millisecond that the target is up.
 IDEMPOTENT_MAX_SILENCE_S = 1.0
 AT_MOST_ONCE_MAX_SILENCE_S = 0.25
 
 
 class ConnectionPool:
-    """Idle connections by target, the last used first."""
+    """Idle connections by target; the most recently used one is reused first."""
 
     def __init__(self, decode: Callable[..., AnswerHead], now: Callable[[], float]) -> None:
         self.decode = decode
@@ -39,12 +39,12 @@
     def acquire(
         self, target: Target, idempotent: bool, connect_timeout_s: float
     ) -> TargetConnection:
-        """Return a kept connection that still looks sound, or a new one.
+        """Return an idle connection that still looks usable, or a new one.
 
         Raises
         ------
         OSError
-            If no connection was made; nothing was sent then.
+            If the connection could not be established; nothing was sent.
         """
         keep_alive_fraction = (
             IDEMPOTENT_KEEP_ALIVE_FRACTION if idempotent else AT_MOST_ONCE_KEEP_ALIVE_FRACTION
@@ -68,7 +68,7 @@
         return connection
 
     def release(self, target: Target, connection: TargetConnection) -> None:
-        """Keep a connection whose answer was read whole."""
+        """Return a connection to the pool after its answer was read completely."""
         if connection.finish():
             if target.gone:
                 connection.close()
@@ -76,7 +76,7 @@
             self.idle.setdefault(target.instance, []).append(connection)
 
     def release_unused(self, target: Target, connection: TargetConnection) -> None:
-        """Keep a connection on which nothing was sent since it was taken."""
+        """Return a connection to the pool on which nothing was sent since ``acquire``."""
         connection.idle_since = self.now()
         self.idle.setdefault(target.instance, []).append(connection)
 
@@ -86,7 +86,7 @@
             connection.close()
 
     def close_stale(self) -> None:
-        """Close idle connections that will not be used again."""
+        """Close idle connections that can no longer be reused."""
         for instance, idle in list(self.idle.items()):
             usable = []
             for connection in idle:
--- a/agaterail/gateway/eventstream.py
+++ b/agaterail/gateway/eventstream.py
@@ -1,30 +1,32 @@
-"""Whole events of a stream, numbered by their ids, across several runs."""
+"""Split event streams into complete events, without repeats across several runs."""
 
 from __future__ import annotations
 
 import attrs
 
-# An event without an end would be kept in memory for as long as it comes.
+# Without a limit, an event that never ends would be buffered without bound.
 MAX_EVENT_BYTES = 1024 * 1024
 ID_FIELD = b"id"
 
 
 @attrs.define
 class EventSplitter:
-    """Cuts a target's bytes into whole events and drops those sent before.
+    """Splits a target's data into complete events and drops those relayed before.
 
-    Only whole events are passed on: a target may end in the middle of one, and
-    the half of an event followed by a new run's events would read as one
-    garbled event.
+    Only complete events are relayed: a target may fail in the middle of one, and the
+    caller would parse that part together with the next run's events as one corrupt
+    event.
 
     Attributes
     ----------
     last_id
-        Id of the last event that was passed on; None before the first.
+        Id of the last event that was relayed; None before the first.
     partial
-        Bytes of an event that has not ended yet.
+        Data of an event that is not complete yet.
     broken
-        An event has no usable id, or is too long; nothing more is passed on.
+        Whether an event exceeded the size limit; nothing more is relayed then.
+    event_count
+        Number of events with an id that were relayed.
     """
 
     last_id: int | None = None
@@ -33,7 +35,7 @@
     event_count: int = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Return the new whole events in the data."""
+        """Return the complete new events after adding the data."""
         buffered = self.partial + data
         end = _last_boundary(buffered)
         if end == 0:
@@ -47,11 +49,11 @@
         return b"".join(new_events)
 
     def completes_event(self, data: bytes) -> bool:
-        """Tell whether an event ends in the data, were it fed now."""
+        """Return whether the data would complete an event, without consuming it."""
         return _last_boundary(self.partial + data) > 0
 
     def discard_partial(self) -> None:
-        """Forget the event that the former run left unfinished."""
+        """Discard the incomplete event of the previous run."""
         self.partial = b""
 
     def _is_new(self, event: bytes) -> bool:
@@ -59,7 +61,7 @@
             return False
         number = _event_id(event)
         if number is None:
-            # A comment or a preamble has no id and cannot be a repeat.
+            # A comment or preamble has no id, so it cannot be recognized as a repeat.
             return True
         if self.last_id is not None and number <= self.last_id:
             return False
--- a/agaterail/gateway/forwarder.py
+++ b/agaterail/gateway/forwarder.py
@@ -218,7 +218,9 @@
             started = self.sender.start_attempt(self._last_event_id())
             if isinstance(started, Failure):
                 self._switch_to(silent)
-                self.sender.log("No hedge possible, waiting on.", reason=started.detail)
+                self.sender.log(
+                    "Could not hedge, still waiting for the target.", reason=started.detail
+                )
                 return True
             self.hedge = started
             self.sender.log("Sent a hedge to another target.", silent=silent.instance)
--- a/agaterail/gateway/handler.py
+++ b/agaterail/gateway/handler.py
@@ -1,4 +1,4 @@
-"""From a caller's request to its answer: routing, keys, forwarding, failures."""
+"""Handle callers' requests: routing, API keys, forwarding and failures."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 logger = logs.get_logger("gateway")
 
-# Way of an answer to the caller and back, and pauses of the event loop.
+# Network round trip to the caller plus event loop pauses.
 RETURN_MARGIN_S = 0.03
 DEFAULT_TIME_LIMIT_S = 60.0
 
@@ -59,9 +59,11 @@
             )
             raise
         except Exception:
-            # A fault of ours; without an answer the caller could not tell it from
-            # a lost connection.
-            logger.exception("Handling a request raised.", request=inbound.request_id)
+            # A bug in the gateway. Without an answer, the caller could not tell it
+            # from a lost connection.
+            logger.exception(
+                "Unhandled exception in the request handler.", request=inbound.request_id
+            )
             failure = Failure(ErrorKind.INTERNAL)
             if context is not None and context.first_byte_at is not None:
                 caller.abort()
@@ -133,14 +135,22 @@
         if workspace is None:
             return self._denial(ErrorKind.UNAUTHENTICATED)
         if not self.daemon.freshness.allows_keys(self.daemon.now()):
-            return Failure(ErrorKind.TABLES_UNAVAILABLE, "Keys cannot be verified now.")
+            return Failure(
+                ErrorKind.TABLES_UNAVAILABLE,
+                "The desired state is too old to verify API keys.",
+            )
         return workspace
 
     def _denial(self, kind: ErrorKind) -> Failure:
-        """Deny for good only what a fresh reading does not know."""
+        """Return a permanent denial, or a temporary one if the desired state is stale.
+
+        A newer desired state may hold the route or API key that is missing here.
+        """
         if self.daemon.freshness.allows_denial(self.daemon.now()):
             return Failure(kind)
-        return Failure(ErrorKind.TABLES_UNAVAILABLE, "The desired state may be newer.")
+        return Failure(
+            ErrorKind.TABLES_UNAVAILABLE, "The desired state is too old to deny the request."
+        )
 
     def _send_failure(
         self,
@@ -169,10 +179,10 @@
         caller.send_answer(status, lines, b"")
 
     def _retry_after_s(self, failure: Failure, inbound: InboundRequest) -> float | None:
-        """Return when to come back: a part of the caller's time, spread at random.
+        """Return the Retry-After delay in seconds: a jittered share of the time limit.
 
-        Callers heed a hint of up to a third of the time that they have left; a
-        longer one would be an answer that nobody waits for.
+        Callers honor a delay of up to a third of the time that they have left. With a
+        longer one they would give up instead.
         """
         if failure.retry_after_s is not None or failure.retry_hint_s is None:
             return failure.retry_after_s
--- a/agaterail/gateway/httpserver.py
+++ b/agaterail/gateway/httpserver.py
@@ -1,4 +1,4 @@
-"""Server for callers: strict HTTP/1.1 on plain gevent sockets."""
+"""Strict HTTP/1.1 server on plain gevent sockets."""
 
 from __future__ import annotations
 
@@ -27,13 +27,12 @@
 BACKLOG = 1024
 READ_BYTES = 64 * 1024
 READ = 1
-# A caller that takes nothing of its answer for so long is cut; its stream waits
-# in the kernel's bounded buffers until then and holds nobody else up.
+# A caller that reads nothing for this long is disconnected. Until then its stream waits
+# in the kernel's bounded socket buffers and delays no other request.
 SEND_TIMEOUT_S = 10.0
-# Requests that a caller sends ahead on one connection are kept up to here.
 MAX_PIPELINED_REQUESTS = 16
-# How long a connection that was answered with an error is read on and thrown
-# away: closing with unread bytes would reset it, and the answer with it.
+# After an error answer, incoming data is read and discarded for this long. Closing a
+# socket with unread data sends a reset, which may discard the answer.
 LINGER_S = 0.5
 
 REASONS = {
@@ -53,7 +52,7 @@
 
 
 class RequestRefused(Exception):  # noqa: N818
-    """A request that is not read to its end; carries the status to answer."""
+    """Rejects a request before it is read completely; holds the status to answer."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -62,11 +61,11 @@
 
 
 class RequestReader:
-    """Parses one connection's bytes into whole requests.
+    """Parses one connection's data into complete requests.
 
-    llhttp refuses what leaves open where a request ends (a length beside
-    chunks, two lengths, bare line feeds, bad chunk sizes): with such bytes a
-    caller could smuggle a second request past the router.
+    llhttp rejects ambiguous request boundaries (a length with chunked encoding, two
+    lengths, bare line feeds, bad chunk sizes), which would allow request smuggling:
+    a second request hidden from the router.
     """
 
     def __init__(self, limits: Callable[[], CallerLimits], now: Callable[[], float]) -> None:
@@ -83,16 +82,16 @@
 
     @property
     def in_progress(self) -> bool:
-        """Tell whether part of a request has been read."""
+        """Return whether part of a request has been read."""
         return self.current is not None
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes.
+        """Parse received data.
 
         Raises
         ------
         RequestRefused
-            If they are no proper request, or more than the limits allow.
+            If the data is not a valid request or exceeds the limits.
         """
         if self.in_head or self.current is None:
             self.head_bytes += len(data)
@@ -110,9 +109,9 @@
         if self.in_head and self.head_bytes > self.limits().max_header_bytes:
             raise RequestRefused(431, "the head is too large")
         if len(self.ready) > MAX_PIPELINED_REQUESTS:
-            raise RequestRefused(400, "too many requests were sent ahead")
+            raise RequestRefused(400, "too many pipelined requests")
 
-    # Callbacks of the parser.
+    # Parser callbacks.
 
     def on_message_begin(self) -> None:
         """Start a request."""
@@ -124,35 +123,35 @@
         self.body_bytes = 0
 
     def on_url(self, part: bytes) -> None:
-        """Note a piece of the target."""
+        """Append a part of the request target."""
         assert self.current is not None
         self.current.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note a header."""
+        """Record a header."""
         assert self.current is not None
         self.current.headers.append((name, value))
         if name.lower() == b"expect" and value.lower() == b"100-continue":
             self.wants_continue = True
 
     def on_headers_complete(self) -> None:
-        """Note the end of the head."""
+        """Record the method and check the request target."""
         assert self.current is not None
         self.in_head = False
         self.head_bytes = 0
         self.current.method = self.parser.get_method()
         if not self.current.target.startswith(b"/"):
-            raise RequestRefused(400, "the target is no path")
+            raise RequestRefused(400, "the request target is not a path")
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body."""
+        """Buffer a part of the body."""
         self.pieces.append(data)
         self.body_bytes += len(data)
         if self.body_bytes > self.limits().max_body_bytes:
             raise RequestRefused(413, "the body is too large")
 
     def on_message_complete(self) -> None:
-        """Keep the whole request."""
+        """Queue the complete request."""
         assert self.current is not None
         self.current.body = b"".join(self.pieces)
         self.current.keep_alive = bool(self.parser.should_keep_alive())
@@ -163,20 +162,20 @@
 
 
 class CallerConnection:
-    """One caller's connection and the answers on it."""
+    """A caller's connection, which reads requests and sends their answers in order."""
 
     def __init__(self, sock: Any, http_server: HttpServer) -> None:
         self.sock = sock
         self.http_server = http_server
         self.reader = RequestReader(http_server.limits, http_server.now)
-        self.keep_open = True  # of the connection, after the answer under way
+        self.keep_open = True  # after the current answer
         self.answering = False
         self.streaming = False
         self.wake = gevent.event.Event()
         self.idle = False
 
     def serve(self) -> None:
-        """Answer the connection's requests one after the other."""
+        """Answer the connection's requests one by one."""
         while self.keep_open:
             inbound = self._next_request()
             if inbound is None:
@@ -191,51 +190,51 @@
                 watch.stop()
                 self.answering = False
             if self.http_server.stopping:
-                # A stream whose head was sent before the stop has not told its
-                # caller; the next request on the connection could come so late
-                # that the process ends before its answer does.
+                # If a stream's head was sent before the stop, it lacks the header
+                # "Connection: close". A further request could arrive so late that
+                # the process exits in the middle of its answer.
                 return
 
     def send_answer(self, status: int, lines: Sequence[bytes], body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self._send(self._head(status, lines, b"Content-Length: %d" % len(body)) + body)
 
     def send_large_answer(self, status: int, lines: Sequence[bytes], body: bytes) -> None:
-        """Send a whole answer whose body may queue behind others on the link.
+        """Send a complete answer whose body may queue behind others on the link.
 
-        Where many such answers are due at the same moment, all heads go first: whoever
-        waits for a body that is queued knows that it comes, and need not ask elsewhere,
-        which would queue it there too.
+        When many such answers are due at once, all heads are sent first. A receiver
+        whose body is still queued then knows that it is coming and does not ask another
+        peer, where it would be queued again.
         """
         self._send(self._head(status, lines, b"Content-Length: %d" % len(body)))
         gevent.sleep(0.0)
         self._send(body)
 
     def start_stream(self, status: int, lines: Sequence[bytes], first: bytes) -> None:
-        """Send the head of a streamed answer with its first bytes."""
+        """Send the head of a streamed answer with its first data."""
         head = self._head(status, lines, b"Transfer-Encoding: chunked")
         self.streaming = True
         chunk = b"%x\r\n%b\r\n" % (len(first), first) if first else b""
         self._send(head + chunk)
 
     def send_chunk(self, data: bytes) -> None:
-        """Send the next bytes of a stream."""
+        """Send the next data of a stream."""
         self._send(b"%x\r\n%b\r\n" % (len(data), data))
 
     def end_stream(self) -> None:
-        """End a stream that is complete."""
+        """Send the final chunk of a complete stream."""
         self._send(b"0\r\n\r\n")
 
     def abort(self) -> None:
-        """End the connection so that an unfinished answer does not look complete."""
+        """Close the connection so that an incomplete answer does not look complete."""
         self.keep_open = False
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request is being read or answered.
 
-        Only a flag is set: the connection's own greenlet looks for bytes that
-        have arrived meanwhile before it closes. Ended from outside, it might
-        just have read a request and passed it on.
+        This only sets a flag. The connection's own greenlet checks for data that has
+        arrived meanwhile before it closes. Killed from outside, it might just have
+        read and forwarded a request.
         """
         if self.idle:
             self.keep_open = False
@@ -250,7 +249,7 @@
             try:
                 data = self.sock.recv(READ_BYTES)
             except TimeoutError:
-                self._refuse(RequestRefused(408, "the request came too slowly"))
+                self._refuse(RequestRefused(408, "timed out reading the request"))
                 return None
             if not data:
                 return None
@@ -258,7 +257,7 @@
                 reader.feed(data)
             except RequestRefused as refused:
                 if reader.ready:
-                    # Whole requests before the bad bytes still get answers.
+                    # Complete requests before the invalid data are still answered.
                     self.keep_open = False
                     break
                 self._refuse(refused)
@@ -270,7 +269,7 @@
         return reader.ready.popleft()
 
     def _wait_idle(self) -> bool:
-        """Wait for the next request; tells whether there is something to read."""
+        """Wait for the next request; return whether there is data to read."""
         self.wake.clear()
         watcher = gevent.get_hub().loop.io(self.sock.fileno(), READ)
         watcher.start(self.wake.set)
@@ -289,7 +288,7 @@
 
     def _refuse(self, refused: RequestRefused) -> None:
         logger.info(
-            "Refused a malformed request.", status=refused.status, reason=refused.reason
+            "Rejected a malformed request.", status=refused.status, reason=refused.reason
         )
         self.http_server.count_refusal(refused.status)
         self.keep_open = False
@@ -317,18 +316,18 @@
             if sent < len(data):
                 self.sock.sendall(memoryview(data)[sent:])
         except OSError as error:
-            # As an OSError it would look like the target's failure to whoever
-            # passes events on, and the stream would be run again for nobody.
+            # While relaying events, an OSError would be taken for a failure of the
+            # target, and the stream would run again although the caller has left.
             raise CallerLeft(str(error)) from error
 
 
 class HttpServer:
-    """Listens for callers and hands whole requests on.
+    """Accepts connections and passes complete requests to a handler.
 
     Attributes
     ----------
     stopping
-        Answers end their connection, so that callers go elsewhere.
+        Whether each answer closes its connection, so that callers go elsewhere.
     """
 
     def __init__(
@@ -348,23 +347,23 @@
         self.connections: set[CallerConnection] = set()
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # Accepted connections inherit this. With Nagle's algorithm an event
-        # would wait for the caller's delayed acknowledgement, about 40 ms.
+        # Inherited by accepted connections. Nagle's algorithm would hold back an event
+        # until the caller's delayed acknowledgement, about 40 ms later.
         listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         listener.bind((address.host, address.port))
         listener.listen(BACKLOG)
         self.server = StreamServer(listener, self._on_connection)
 
     def start(self) -> None:
-        """Accept connections."""
+        """Start accepting connections."""
         self.server.start()
 
     def begin_stop(self) -> None:
-        """End each connection with its next answer."""
+        """Close each connection after its next answer."""
         self.stopping = True
 
     def close_idle(self) -> None:
-        """Close connections on which nothing is under way."""
+        """Close connections without a request in progress."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
@@ -388,7 +387,7 @@
         try:
             connection.serve()
         except (OSError, CallerLeft):
-            # The caller left or takes nothing; there is nobody to tell.
+            # The caller left or does not read, so no answer can be sent.
             pass
         finally:
             self.connections.discard(connection)
--- a/agaterail/gateway/inbound.py
+++ b/agaterail/gateway/inbound.py
@@ -1,4 +1,4 @@
-"""A caller's request as the gateway handles it."""
+"""Requests of callers, and the heads of requests to targets and of their answers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def normalize_part_name(name: str) -> str:
-    """Return a part's name as the events of stores spell it: a number without zeros before."""
+    """Return a part's name as in store events: lower case, without leading zeros."""
     return name.lower().lstrip("0")
 
 
@@ -20,24 +20,24 @@
 
 @attrs.define(kw_only=True)
 class InboundRequest:
-    """One request, whole, as its caller sent it.
+    """A complete request as its caller sent it.
 
     Attributes
     ----------
     target
-        Path and query as sent, byte by byte.
+        Path and query, byte for byte as sent.
     headers
         Names and values as sent, in order.
     received_at
-        Time at which its first byte was read.
+        Time at which the first byte was read.
     complete_at
-        Time at which its last byte was read.
+        Time at which the last byte was read.
     time_limit_s
-        Seconds that the caller will wait, from its sending; None if not said.
+        Seconds that the caller waits after sending; None if not given.
     prompt
-        Parts of the prompt, shared ones first; empty if not named.
+        Parts of the prompt, shared ones first; empty if not given.
     last_event_id
-        Position after which a stream is to be continued; empty for the start.
+        Id of the event after which a stream resumes; empty for the start.
     """
 
     method: bytes
@@ -59,33 +59,33 @@
 
     @property
     def path(self) -> bytes:
-        """Return the target without its query."""
+        """Return the request target without its query."""
         return self.target.partition(b"?")[0]
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
-        """Return the parts that other requests may share; the last is its own."""
+        """Return the parts that other requests may share: all but the last."""
         return self.prompt[:-1]
 
 
 @attrs.frozen(kw_only=True)
 class AttemptHead:
-    """What the gateway itself sets on a request to a target.
+    """Headers that the gateway itself sets on a request to a target.
 
     Attributes
     ----------
     instance
-        Target that must answer; another one at the address refuses.
+        Id of the target that must answer; another one at the same address refuses.
     weights_version
-        Weights that must answer; None for any.
+        Weights version that must answer; None for any.
     cache_scope
-        Requests with other scopes share no cached parts.
+        Cached parts are shared only between requests of the same scope.
     fetch_from
-        Address that the engine fetches missing cached parts from.
+        Address from which the engine fetches cached parts that it lacks.
     save_to
-        Address that the engine saves the parts to that it has read.
+        Address to which the engine saves the parts that it has read.
     priority
-        0 is first, 9 last; None leaves the engine's default.
+        From 0, first, to 9, last; None for the engine's default.
     """
 
     time_left_s: float
@@ -106,15 +106,17 @@
     Attributes
     ----------
     not_run
-        The target says in its protocol's form that it did not run the request.
+        Whether the target reported that it did not run the request.
     request_id
-        Request that the target says the answer belongs to.
+        Id of the request that the target is answering; empty if not given.
     headers
-        Headers to pass on, those of one connection left out.
+        Headers to relay, without hop-by-hop headers.
+    has_server_stamp
+        Whether the Server-Stamp header is present; other answers are not relayed.
     keep_alive_s
-        Seconds for which the target keeps an idle connection; None if not said.
+        Seconds for which the target keeps an idle connection open; None if not given.
     weights_version
-        Weights that produced the answer; None if not said.
+        Weights version that produced the answer; None if not given.
     """
 
     status: int
--- a/agaterail/gateway/logratelimit.py
+++ b/agaterail/gateway/logbudget.py
@@ -1,4 +1,4 @@
-"""Bound on log lines a second, failures before successes."""
+"""Rate limit for log lines that keeps failures when successes fill the log."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, MutableMapping
 
-# A line of 400 bytes costs some 40 us. 60 lines a second of each kind are 0.5%
-# of a core and 50 KB; a host serves ten requests a second on an ordinary day,
-# three lines each, and a flood of callers must not become a flood of lines.
+# Applies to routine and other lines separately. A line of 400 bytes takes about 40 us,
+# so both limits together are 0.5% of a core and 50 KB/s. A host normally serves ten
+# requests per second with three lines each; a burst of callers must not flood the log.
 MAX_LINES_PER_S = 60
-# Lines that say how a request went well; these are left out first.
+# Events of requests that went well; these are the first to be suppressed.
 ROUTINE_EVENTS = frozenset({"Answered.", "Stream complete.", "Caller left."})
 
 
 class HostField:
-    """Processor that names the host in each line, as lines of many are read together."""
+    """Processor that adds the host, since lines of many hosts are read together."""
 
     def __init__(self, host: str) -> None:
         self.host = host
@@ -26,17 +26,16 @@
     def __call__(
         self, _logger: Any, _method: str, event: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
-        """Add the host."""
+        """Add the host unless the line has one."""
         event.setdefault("host", self.host)
         return event
 
 
 class LogRateLimiter:
-    """Processor that drops what exceeds the lines of the current second.
+    """Processor that drops lines over the limit for the current second.
 
-    Routine lines have a budget of their own, so that they never take the place
-    of a failure's line. How many were left out is added to the next line that
-    is written.
+    Routine lines are counted separately, so that they never displace the line of a
+    failure. The number of suppressed lines is added to the next line written.
     """
 
     def __init__(self, now: Callable[[], float], lines_per_s: int = MAX_LINES_PER_S) -> None:
@@ -49,7 +48,7 @@
     def __call__(
         self, _logger: Any, _method: str, event: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
-        """Pass a line on, or raise ``DropEvent``."""
+        """Return the line, or raise ``DropEvent`` if the limit is reached."""
         second = int(self.now())
         if second != self.second:
             self.second = second
--- a/agaterail/gateway/logsink.py
+++ b/agaterail/gateway/logsink.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output that never hold the daemon up."""
+"""Non-blocking output of log lines."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class LogSink:
-    """File-like object that writes lines without waiting.
+    """File-like object that writes log lines without blocking.
 
-    A reader that stops reading fills the pipe; a blocking write would then stop
-    every request of the process. Lines that do not fit are counted, and the
-    count is written in their place once the reader is back.
+    If the log collector stops reading, the pipe fills up, and a blocking write would
+    stall every request of the process. Lines that do not fit are dropped and counted;
+    the count is written once the collector reads again.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -22,7 +22,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Write text, or count it as dropped."""
+        """Write the text, or drop and count it."""
         data = text.encode("utf-8", "replace")
         if self.partial_line and not self._flush_partial_line():
             self._drop()
@@ -37,7 +37,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: nothing is kept back that could be written."""
+        """Do nothing, since there is no buffer to flush."""
 
     def _drop(self) -> None:
         self.dropped += 1
@@ -48,14 +48,14 @@
         return self._write(rest) and not self.partial_line
 
     def _write(self, data: bytes) -> bool:
-        """Write what fits; tells whether any of it did."""
+        """Write as much as fits; return whether anything was written."""
         try:
             written = os.write(self.descriptor, data)
         except OSError as error:
             if error.errno not in (errno.EAGAIN, errno.EPIPE):
                 raise
-            # Nobody reads, or the pipe is full.
+            # The pipe is full or has no reader.
             return False
-        # A line that was begun is ended later, so that lines stay whole.
+        # The next write completes a partly written line first, so lines stay intact.
         self.partial_line = data[written:]
         return True
--- a/agaterail/gateway/metrics.py
+++ b/agaterail/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of one daemon, served as text."""
+"""Metrics of the daemon in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 logger = logs.get_logger("metrics")
 
 PREFIX = "agaterail"
-# Seconds; objectives are 0.1 to 0.5 s and time limits up to 15 s.
+# Latency objectives range from 0.1 to 0.5 s, time limits up to 15 s.
 BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 3.5, 6.0, 15.0)
 OK = 200
 NOT_FOUND = 404
@@ -27,7 +27,7 @@
 
 
 class GatewayMetrics:
-    """The metrics; docs/OPERATIONS.md says what each tells."""
+    """The daemon's metrics, which docs/OPERATIONS.md explains."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -83,7 +83,7 @@
         }
 
     def render(self, daemon: Daemon) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         self._update_gauges(daemon)
         return generate_latest(self.registry)
 
@@ -112,7 +112,7 @@
 
 
 def start_metrics(daemon: Daemon, address: Address, path: bytes) -> HttpServer | None:
-    """Serve the metrics at one path; without the address the daemon runs on."""
+    """Serve the metrics at one path; if the address cannot be bound, only log that."""
 
     def handle(inbound: InboundRequest, caller: CallerConnection) -> None:
         if inbound.path != path:
@@ -123,7 +123,9 @@
     try:
         server = HttpServer(address, handle, CallerLimits, daemon.now)
     except OSError as error:
-        logger.warning("Metrics are not served.", address=str(address), reason=str(error))
+        logger.warning(
+            "Could not start the metrics server.", address=str(address), reason=str(error)
+        )
         return None
     server.start()
     return server
--- a/agaterail/gateway/requestcontext.py
+++ b/agaterail/gateway/requestcontext.py
@@ -1,4 +1,4 @@
-"""One request with all that was decided before it is sent."""
+"""A request with its route, service, deadline and progress."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @attrs.define(kw_only=True)
 class RequestContext:
-    """A request on its way to an answer.
+    """One request and what the gateway decided and recorded about it.
 
     Attributes
     ----------
     deadline
-        Time at which the last byte of the answer is due.
+        Time by which the last byte of the answer must be sent.
     saves
-        The engine that has it was told to save its prompt.
+        Whether the engine was told to save the prompt.
     """
 
     inbound: InboundRequest
@@ -39,6 +39,6 @@
 
     @property
     def first_byte_s(self) -> float | None:
-        """Return after how many seconds the answer began; None before."""
+        """Return the seconds until the answer's first byte; None before it was sent."""
         at = self.first_byte_at
         return None if at is None else at - self.inbound.received_at
--- a/agaterail/gateway/targetconnection.py
+++ b/agaterail/gateway/targetconnection.py
@@ -1,4 +1,4 @@
-"""One connection to a target, on which requests follow one another."""
+"""A keep-alive connection to a target."""
 
 from __future__ import annotations
 
@@ -22,27 +22,26 @@
     from agaterail.gateway.inbound import AnswerHead
 
 READ_BYTES = 64 * 1024
-# An answer whose head has not ended after so many bytes is no answer.
+# An answer with a larger head is treated as broken.
 MAX_HEAD_BYTES = 64 * 1024
 MIN_FINAL_STATUS = 200
 NO_CONTENT = 204
 NOT_MODIFIED = 304
-# Bytes that were sent and not acknowledged for so long fail the connection: a
-# host without power or behind a partition answers nothing at all, and without
-# this a write to it would hang for minutes.
+# The connection fails if sent bytes stay unacknowledged for this long. A host without
+# power or behind a partition sends nothing, so a write to it would hang for minutes.
 TCP_USER_TIMEOUT_MS = 3000
-# Closing with a reset tells the target at once that nobody waits; an orderly
-# close may leave it working on an answer that still fits its send buffer.
+# SO_LINGER value that makes close send a reset, so the target stops at once. After an
+# orderly close it may keep working on an answer that fits into its send buffer.
 LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class AnswerBroken(ConnectionError):  # noqa: N818
-    """The target's bytes are no whole answer to the request."""
+    """The target's data is not a complete, valid answer to the request."""
 
 
 @attrs.define
 class _Message:
-    """One answer as the parser found it."""
+    """An answer as parsed so far."""
 
     status: int = 0
     headers: list[tuple[bytes, bytes]] = attrs.field(factory=list)
@@ -53,20 +52,19 @@
 
 
 class TargetConnection:
-    """Connection to one target.
+    """Connection to one target, with at most one request in flight.
 
-    At most one request is under way. The parser takes in whatever arrives; an
-    answer that repeats another request's id is a late or doubled one and is
-    skipped, and a channel on which anything unasked arrived is not used again.
+    An answer with another request's id is a late or duplicate one and is skipped. A
+    connection that received any unsolicited data is not reused.
 
     Attributes
     ----------
     written
         Whether a byte of the current request may have reached the target.
     reusable
-        Whether another request may follow.
+        Whether the connection may carry another request.
     on_data
-        Called whenever bytes arrive.
+        Called whenever data arrives.
     """
 
     def __init__(
@@ -100,7 +98,7 @@
         Raises
         ------
         OSError
-            If no connection was made within the time.
+            If the connection is not established within the timeout.
         """
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -116,29 +114,29 @@
             raise
         return cls(sock, decode, now)
 
-    # Callbacks of the parser.
+    # Parser callbacks.
 
     def on_message_begin(self) -> None:
-        """Start a message."""
+        """Start an answer."""
         self.current = _Message()
         self.messages.append(self.current)
         self.head_bytes = 0
 
     def on_status(self, _reason: bytes) -> None:
-        """Note the status."""
+        """Record the status code."""
         assert self.current is not None
         self.current.status = self.parser.get_status_code()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note a header."""
+        """Record a header."""
         assert self.current is not None
         self.head_bytes += len(name) + len(value)
         if self.head_bytes > MAX_HEAD_BYTES:
-            raise AnswerBroken("the head of the answer is too long")
+            raise AnswerBroken("the head of the answer is too large")
         self.current.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Note that the head has ended and how the body will."""
+        """Record the end of the head and how the body is delimited."""
         message = self.current
         assert message is not None
         message.status = self.parser.get_status_code()
@@ -154,20 +152,20 @@
             self.reusable = False
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body."""
+        """Buffer a part of the body."""
         assert self.current is not None
         self.current.chunks.append(data)
 
     def on_message_complete(self) -> None:
-        """Note the end of a message."""
+        """Record the end of the answer."""
         if self.current is not None:
             self.current.done = True
         self.current = None
 
-    # What a request needs.
+    # Sending a request and reading its answer.
 
     def is_stale(self, keep_alive_fraction: float) -> bool:
-        """Tell whether the target has closed the idle connection or soon will."""
+        """Return whether the target has closed the idle connection or is about to."""
         if self.closed or not self.reusable:
             return True
         idle_s = self.now() - self.idle_since
@@ -179,15 +177,14 @@
             return False
         except OSError:
             return True
-        # Either the end of the connection or bytes that nobody asked for.
+        # Readable means that the target closed the connection or sent unsolicited data.
         return len(data) >= 0
 
     def send(self, head: bytes, body: bytes, timeout_s: float) -> None:
-        """Send a request; what does not fit into the buffer follows beside the reading.
+        """Send a request; what exceeds the send buffer is written in the background.
 
-        A target may answer before it has read a long body, and may read no
-        more of it until its answer was taken. Writing all before reading would
-        then wait for ever.
+        A target may answer before it has read a long body, and may not read on until
+        its answer is read. Writing everything before reading would then deadlock.
 
         Raises
         ------
@@ -203,14 +200,14 @@
             self.writer = gevent.spawn(self._write_rest, memoryview(data)[sent:])
 
     def read_head(self, request_id: str, deadline: float) -> AnswerHead:
-        """Wait for the head of the answer to a request.
+        """Return the head of the answer to a request, waiting for it if necessary.
 
         Raises
         ------
         TimeoutError
-            If it has not come by the deadline.
+            If the head does not arrive by the deadline.
         OSError
-            If the connection broke or what came is no answer.
+            If the connection fails or the data is not a valid answer.
         """
         while True:
             message = self.messages[0] if self.messages else None
@@ -224,24 +221,24 @@
                     if head.request_id in ("", request_id):
                         self.keep_alive_s = head.keep_alive_s
                         return head
-                    # The doubled answer of an earlier request; ours follows.
+                    # A duplicate answer to an earlier request; ours follows.
                     self.reusable = False
                     if message.done:
                         self.messages.pop(0)
                         continue
                     message.chunks.clear()
             if not self._receive(deadline):
-                raise AnswerBroken("the target closed the channel without an answer")
+                raise AnswerBroken("the target closed the connection without an answer")
 
     def read_body(self, deadline: float) -> bytes:
-        """Return the next bytes of the body, or nothing at its end.
+        """Return the next bytes of the body, or empty bytes at its end.
 
         Raises
         ------
         TimeoutError
-            If nothing has come by the deadline.
+            If no data arrives by the deadline.
         OSError
-            If the body was cut short.
+            If the body is truncated.
         """
         message = self.messages[0]
         while not message.chunks:
@@ -249,22 +246,22 @@
                 return b""
             if not self._receive(deadline):
                 if message.delimited:
-                    raise AnswerBroken("the body was cut short")
+                    raise AnswerBroken("the body is truncated")
                 message.done = True
         data = b"".join(message.chunks)
         message.chunks.clear()
         return data
 
     def finish(self) -> bool:
-        """End a request whose answer was read whole; tells whether to keep the channel."""
+        """End a completely answered request; return whether to keep the connection."""
         writing = self.writer is not None and not self.writer.ready()
         extra = len(self.messages) > 1
         whole = bool(self.messages) and self.messages[0].done
         self.messages.clear()
         self.writer = None
         if writing or extra or not whole or not self.reusable or self.closed:
-            # Part of the body is still due, or something unasked arrived: the
-            # next request's bytes or answer would be taken for another's.
+            # Part of the request or answer is outstanding, or unsolicited data arrived.
+            # On reuse, the next request or answer would be mixed up with it.
             self.close()
             return False
         self.idle_since = self.now()
@@ -279,7 +276,7 @@
         self.reusable = False
         if self.writer is not None:
             self.writer.kill(block=False)
-        # It fails if the other side has reset it already; closing is left then.
+        # Fails if the peer has already reset the connection; it is still closed below.
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.sock.close()
@@ -287,7 +284,7 @@
     def _receive(self, deadline: float) -> bool:
         left = deadline - self.now()
         if left <= 0.0:
-            raise TimeoutError(errno.ETIMEDOUT, "no answer in time")
+            raise TimeoutError(errno.ETIMEDOUT, "timed out waiting for the answer")
         self.sock.settimeout(left)
         data = self.sock.recv(READ_BYTES)
         if not data:
@@ -298,7 +295,7 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.reusable = False
-            # Rubbish after a whole answer spoils the channel, not the answer.
+            # Garbage after a complete answer makes only the connection unusable.
             if not (self.messages and self.messages[0].done):
                 raise AnswerBroken(f"the answer cannot be parsed: {error}") from error
         return True
@@ -307,14 +304,14 @@
         try:
             self.sock.sendall(rest)
         except OSError:
-            # The reading side sees the broken connection and reports it.
+            # The reader notices the broken connection and reports it.
             self.reusable = False
 
 
 def wait_readable(
     connections: Sequence[TargetConnection], timeout_s: float
 ) -> list[TargetConnection]:
-    """Return the channels on which bytes or an end came, none if nothing did in time."""
+    """Return the connections with data or an end of file; empty on timeout."""
     poll = select.poll()
     by_number = {connection.sock.fileno(): connection for connection in connections}
     for number in by_number:
--- a/agaterail/logs.py
+++ b/agaterail/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines with a fixed prefix per part."""
+"""Structured logging with a fixed prefix for each part of the program."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def get_logger(part: str) -> Any:
-    """Return a logger whose lines start with the part's prefix.
+    """Return a logger that adds the part to each line.
 
     Parameters
     ----------
     part
-        Short name of the part, such as ``"tables"``.
+        Short name of a part of the program, such as ``"tables"``.
     """
     return structlog.get_logger(part=part)
 
@@ -29,18 +29,18 @@
     stream: Any | None = None,
     processors: Sequence[Any] = (),
 ) -> None:
-    """Set the level and form of all log lines of this process.
+    """Set the level, format and output of this process's log lines.
 
     Parameters
     ----------
     level
-        Name of the lowest level shown.
+        Name of the lowest level that is written.
     json_lines
-        Write one JSON object a line instead of ``key=value`` pairs.
-    processors
-        Steps that see each line first.
+        Write one JSON object per line instead of ``key=value`` pairs.
     stream
-        File-like object for the lines; standard error by default.
+        File-like object to write to; by default standard error.
+    processors
+        structlog processors that run before the standard ones.
     """
     renderer: Any = _render_line
     if json_lines:
@@ -78,7 +78,7 @@
 
 def _quote(value: Any) -> str:
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
-    # A line break in a value would let a caller write lines of its own.
+    # A line break in a value would allow callers to inject log lines.
     if " " in text or not text.isprintable() or not text:
         return repr(text)
     return text
--- a/agaterail/losses.py
+++ b/agaterail/losses.py
@@ -1,4 +1,4 @@
-"""Why requests got no whole answer in time, from the log lines of all hosts."""
+"""Group requests without a complete answer in time by cause, from all hosts' logs."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
     from agaterail.requesttrace import LogLine
 
-# Queue before a prompt, as the daemon reckoned it, from which on the queue is named
-# as the cause of a late first token; half of the shortest objective in use.
+# From this estimated queue ahead of a prompt, the queue counts as the cause of a late
+# first token. It is half of the shortest latency objective in use.
 LONG_QUEUE_MS = 200.0
-# A stream that ends with less time left than this ran into its time limit.
+# A stream that is cut with less time left than this has hit its time limit.
 TIME_LIMIT_MARGIN_S = 0.15
 MIN_SERVER_ERROR_STATUS = 500
 MAX_EXAMPLES = 3
 
 
 class Cause(enum.Enum):
-    """What kept a request from a whole answer in time."""
+    """Why a request got no complete answer in time."""
 
     OVERLOAD = "refused, prompts would be late"
     NO_USABLE_TARGET = "refused, no usable target"
@@ -46,8 +46,7 @@
     LATE_PLAIN = "late, a plain request"
 
 
-# Kinds of error of the gateway's own answers; those that deny a request for good are
-# no loss.
+# Error kinds of the gateway's own answers. Permanent denials do not count as losses.
 CAUSE_OF_KIND = {
     "overloaded": Cause.OVERLOAD,
     "no_target": Cause.NO_USABLE_TARGET,
@@ -61,14 +60,14 @@
 
 @attrs.define
 class LossGroup:
-    """Requests of one route that were lost or late for one cause.
+    """Lost or late requests with the same route and cause.
 
     Attributes
     ----------
     by_slot
-        Their number by the start of the span of time, in seconds of the day.
+        Number of requests by the start of the time slot, in seconds of the day.
     examples
-        Ids of the first ones.
+        Ids of the first few requests.
     """
 
     cause: Cause
@@ -79,7 +78,7 @@
 
 
 def find_losses(lines: Iterable[LogLine], slot_s: int) -> list[LossGroup]:
-    """Group the requests that got no whole answer in time, the largest group first."""
+    """Group the requests without a complete answer in time, largest group first."""
     groups: dict[tuple[Cause, str], LossGroup] = {}
     for line in lines:
         fields = dict(line.fields)
@@ -99,7 +98,7 @@
 
 
 def cause_of(event: str, fields: dict[str, Any]) -> Cause | None:
-    """Return why the request of a line was lost or late; None if it was not."""
+    """Return why the line's request was lost or late; None if it was not."""
     if event == "Request failed.":
         kind = str(fields.get("kind"))
         return None if kind in DENIALS else CAUSE_OF_KIND.get(kind, Cause.OTHER_REFUSAL)
--- a/agaterail/requesttrace.py
+++ b/agaterail/requesttrace.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the log lines of several hosts."""
+"""Trace of one request, assembled from the log lines of several hosts."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Left out of the shown fields: they are shown in front, or the same in each line.
+# Shown at the start of a line or the same in every line, so not repeated as fields.
 PREFIX_FIELDS = frozenset({"timestamp", "host", "part", "event", "level", "request"})
-# Lines without a request's id that may have decided about it.
+# Parts whose lines name no request but describe state that decisions depend on.
 STATE_PARTS = frozenset({"state", "feeds", "weights", "fleet", "stop", "main"})
 
 
 @attrs.frozen(order=True)
 class LogLine:
-    """One log line."""
+    """A parsed log line; lines sort by time."""
 
     timestamp: str
     host: str
@@ -29,7 +29,7 @@
 
     @property
     def target(self) -> str:
-        """Return the target that the line is about; empty if none."""
+        """Return the target that the line names; empty if none."""
         return str(dict(self.fields).get("target") or "")
 
     def __str__(self) -> str:
@@ -38,7 +38,7 @@
 
 
 def parse_log_lines(raw: Iterable[str]) -> list[LogLine]:
-    """Return the log lines in a text; whatever stands before a line's brace is left out."""
+    """Parse JSON log lines, ignoring any prefix before the brace and all other lines."""
     lines = []
     for text in raw:
         start = text.find("{")
@@ -47,7 +47,7 @@
         try:
             found = json.loads(text[start:])
         except ValueError:
-            continue  # a line of another program, or one that was cut
+            continue  # a line of another program, or a truncated one
         if not isinstance(found, dict) or "event" not in found:
             continue
         fields = tuple(
@@ -69,13 +69,13 @@
 
 
 def trace_request(lines: Iterable[LogLine], request_id: str, around_s: float) -> list[LogLine]:
-    """Return a request's lines with what its hosts came to believe around them.
+    """Return a request's lines and the state changes on its hosts at that time.
 
     Parameters
     ----------
     around_s
-        Seconds before the first line of the request, up to its last, from which
-        lines of belief are shown: those of its hosts, about its targets or none.
+        State changes are included from this many seconds before the request's first
+        line up to its last, if they name one of its targets or no target.
     """
     lines = list(lines)
     request_lines = sorted(line for line in lines if line.request == request_id)
@@ -98,7 +98,7 @@
 
 
 def seconds_of_day(timestamp: str) -> float:
-    """Return the seconds of a day in a timestamp; enough to tell what is near."""
+    """Return the time of day of a timestamp in seconds; NaN if it cannot be parsed."""
     clock = timestamp.partition("T")[2].rstrip("Z")
     try:
         hours, minutes, seconds = clock.split(":")
--- a/agaterail/util/greenlets.py
+++ b/agaterail/util/greenlets.py
@@ -1,4 +1,4 @@
-"""Set gevent up for a whole process, and run what must not end."""
+"""Set up gevent for the process and run loops that must not end."""
 
 from __future__ import annotations
 
@@ -12,10 +12,9 @@
 
 
 def patch() -> None:
-    """Use libev on epoll and make the standard library cooperative.
+    """Select libev with epoll and monkey-patch the standard library.
 
-    The loop is named because the default one may use io_uring, which the
-    hosts do not allow.
+    The default event loop may use io_uring, which the hosts do not allow.
     """
     config.loop = "libev-cext"
     config.libev_backend = "epoll"
@@ -25,17 +24,17 @@
 def run_forever(
     step: Callable[[], object], logger: Any, event: str, pause_s: float, **fields: object
 ) -> NoReturn:
-    """Run a step again and again; one that raises is logged, and the next comes later.
+    """Run a step in an endless loop; log its exceptions and continue after a pause.
 
-    A greenlet that ended would leave the daemon with what it last knew, and no word
-    of it. The step itself waits for its next turn.
+    If the loop ended, the daemon would continue with stale data without any sign of it.
+    The step itself waits until its next run is due.
 
     Parameters
     ----------
     event, fields
-        Log line for a step that raised.
+        Log line written when the step raises an exception.
     pause_s
-        Seconds until the next step after one that raised.
+        Pause after an exception, in seconds.
     """
     while True:
         try:
--- a/agaterail/util/httpconn.py
+++ b/agaterail/util/httpconn.py
@@ -1,4 +1,4 @@
-"""HTTP requests that are sent at most once and say how far they got."""
+"""HTTP client that sends each request at most once and reports how far it got."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 @attrs.frozen
 class ConnectFailed:
-    """No connection was made, so no byte reached the target."""
+    """The connection could not be established, so nothing reached the target."""
 
     reason: str
 
 
 @attrs.frozen
 class ExchangeBroken:
-    """Bytes may have reached the target and no full answer head came back."""
+    """Data may have reached the target, but no complete answer was received."""
 
     reason: str
     timed_out: bool = False
@@ -44,10 +44,10 @@
 
 
 class _ConnectionPool(ConnectionPool):
-    """Pool that can hand out a connection that was never used before."""
+    """Connection pool that can also open a new connection on request."""
 
     def fresh_socket(self) -> Socket:
-        """Open a new connection, counted like a pooled one."""
+        """Open a new connection, which counts toward the pool's size."""
         self._semaphore.acquire()
         try:
             return self._create_socket()
@@ -56,7 +56,7 @@
             raise
 
     def _resolve(self) -> list:
-        # Peers are IP numbers: no resolver call, and no thread for one.
+        # Peers are given by IP address, so no resolver call or thread is needed.
         family = (
             gevent.socket.AF_INET6 if ":" in self._connection_host else gevent.socket.AF_INET
         )
@@ -64,24 +64,24 @@
         return [(family, gevent.socket.SOCK_STREAM, gevent.socket.IPPROTO_TCP, "", sockaddr)]
 
     def after_connect(self, sock: Socket) -> None:
-        """Turn off Nagle's algorithm: heads and bodies go out in one write."""
+        """Disable Nagle's algorithm, as head and body are sent in a single write."""
         sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
 
 
 class Response(HTTPSocketPoolResponse):
-    """Response whose body can be read as it arrives."""
+    """Response whose body can be read incrementally."""
 
     guard: ReadGuard | None = None
 
     def should_close(self) -> bool:
-        """Keep only a connection whose answer was read to its end.
+        """Return whether to close the connection: always unless the answer was read fully.
 
-        The rest of a cut or late answer would be read as the next one's.
+        The rest of a truncated or late answer would be read as part of the next one.
         """
         return not self.message_complete or super().should_close()
 
     def read_available(self) -> bytes:
-        """Return the next bytes of the body, or nothing at its end."""
+        """Return the next bytes of the body, or empty bytes at its end."""
         while not self._body_buffer and not self.message_complete:
             sock = self._sock
             if sock is None:
@@ -101,18 +101,18 @@
         return available
 
     def set_read_timeout(self, seconds: float) -> None:
-        """Bound the wait of each later read."""
+        """Set the timeout of each subsequent read."""
         self._stop_guard()
         if self._sock is not None:
             self.guard = ReadGuard(self._sock, seconds)
 
     def release(self) -> None:
-        """Give the connection back after a whole answer, else close it."""
+        """Return the connection to the pool after a complete answer, else close it."""
         self._stop_guard()
         super().release()
 
     def discard(self) -> None:
-        """Close the connection, so that nothing late is read as another answer."""
+        """Close the connection, so that late data is not read as another answer."""
         self._stop_guard()
         pool, sock = self._pool, self._sock
         self._pool = self._sock = None
@@ -130,11 +130,11 @@
 
 
 class HttpConnections:
-    """Kept connections to one address, without the library's own resends.
+    """Keep-alive connections to one address, without automatic retries.
 
-    geventhttpclient's ``request`` sends a request again when a kept connection
-    turns out to be closed. The target may have acted on the first copy, so a
-    non-idempotent request could run twice; here each call is one attempt.
+    geventhttpclient's ``request`` resends a request if a keep-alive connection turns
+    out to be closed. The target may have acted on the first copy, so a non-idempotent
+    request could run twice. Here, each call is a single attempt.
     """
 
     def __init__(self, address: Address, connect_timeout_s: float = 1.0) -> None:
@@ -163,10 +163,10 @@
         Parameters
         ----------
         timeout_s
-            Longest wait for the head, and for each later read of the body.
+            Timeout for the head and for each later read of the body.
         fresh
-            Use a new connection: a kept one can be closed by the target in
-            the moment of sending, which leaves the outcome unknown.
+            Use a new connection. The target may close an idle one just as the request
+            is sent, which leaves the outcome unknown.
         """
         try:
             head = self.client._build_request(
@@ -185,8 +185,8 @@
             self.pool.release_socket(sock)
             return Failure(ExchangeBroken(str(error), isinstance(error, TimeoutError)))
         except BaseException:
-            # A greenlet killed in mid-send leaves half a request on the
-            # connection; the next request on it would be read as its rest.
+            # A greenlet killed while sending leaves a partial request on the
+            # connection, and the next request would be read as the rest of it.
             self.pool.release_socket(sock)
             raise
         try:
@@ -204,12 +204,12 @@
         fresh: bool = False,
         on_data: Callable[[], None] = do_nothing,
     ) -> Result[tuple[int, bytes], SendError]:
-        """Send one request and read its whole answer.
+        """Send one request and read its complete answer.
 
         Parameters
         ----------
         on_data
-            Called when the head has come and whenever bytes of the body come.
+            Called when the head arrives and whenever data of the body arrives.
 
         Returns
         -------
@@ -227,12 +227,12 @@
             return Failure(ExchangeBroken(str(error), isinstance(error, TimeoutError)))
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self.pool.close()
 
 
 class ConnectionsByAddress:
-    """Kept connections to several addresses, made when an address is first used."""
+    """Keep-alive connections by address, created when an address is first used."""
 
     def __init__(self, connect_timeout_s: float) -> None:
         self.connect_timeout_s = connect_timeout_s
