--- a/tests/test_agaterail/test_gateway/test_attempts.py
+++ b/tests/test_agaterail/test_gateway/test_attempts.py
@@ -10,8 +10,8 @@
 
 class RetryStateTest(unittest.TestCase):
     def test_an_at_most_once_request_is_not_retried_once_it_may_have_run(self):
-        # The connection breaks after the request was sent: it may have run.
-        # The caller is told so (502) and nothing is sent again.
+        # The connection breaks after the request was sent, so it may have run. The
+        # caller gets a 502 that says so, and nothing is sent again.
         retry_state = RetryState(make_route(kind=RequestKind.UNSAFE, max_attempts=3))
         retry_state.record_outcome("i-1", AttemptOutcome.BROKEN)
         self.assertFalse(retry_state.may_try_another(1.0))
--- a/tests/test_agaterail/test_gateway/test_eventstream.py
+++ b/tests/test_agaterail/test_gateway/test_eventstream.py
@@ -14,8 +14,8 @@
 
 class EventSplitterTest(unittest.TestCase):
     def test_only_whole_events_are_passed_on(self):
-        # The engine dies in the middle of an event. The caller must not get
-        # its half, since the next run's events would be read as its rest.
+        # The engine fails in the middle of an event. The caller must not get that
+        # part, since it would parse the next run's events as the rest of it.
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(event(1) + b"id: 2\nda"), event(1))
         self.assertEqual(splitter.partial, b"id: 2\nda")
--- a/tests/test_agaterail/test_gateway/test_forwarder.py
+++ b/tests/test_agaterail/test_gateway/test_forwarder.py
@@ -8,7 +8,7 @@
 from tests.gateway_fleet import LLM, PLAIN, Fleet
 
 ALL_EVENTS = [b"data: r1-%d" % number for number in range(1, 9)]
-# An engine that a stream has left may work on it for so long.
+# Time within which an engine must notice that its stream was abandoned.
 ABANDON_LIMIT_S = 0.4
 
 
@@ -42,7 +42,7 @@
     other.hang = True
 
 
-# What a request meets that is to go on at another target.
+# Reasons why a request cannot continue at another target.
 HEDGE_FAILURES = {
     "the other refuses": refuse,
     "there is no other": deregister,
@@ -56,7 +56,7 @@
 
 class ForwarderTest(unittest.TestCase):
     def start(self, service=LLM):
-        """Start a fleet; returns the target that gets the next request, and the other."""
+        """Start a fleet; return the target that gets the next request, and the other."""
         self.fleet = Fleet()
         self.addCleanup(self.fleet.stop)
         names = ["e-0", "e-1"] if service == LLM else ["p-0", "p-1"]
@@ -79,7 +79,7 @@
 
 class HedgedStreamTest(ForwarderTest):
     def test_a_paused_stream_completes_when_its_hedge_fails(self):
-        """A pausing stream was left before its successor was found, and ended cut."""
+        """A paused stream was abandoned before its hedge succeeded and was cut."""
         for name, failure in HEDGE_FAILURES.items():
             for stops_host in (False, True):
                 with self.subTest(name, stops_host=stops_host):
@@ -92,7 +92,7 @@
                     self.fleet.stop()
 
     def test_a_late_first_event_is_relayed_when_the_hedge_fails(self):
-        """An engine that was slow to begin was left for one that refused."""
+        """An engine slow to send its first event was abandoned for one that refused."""
         for name, failure in HEDGE_FAILURES.items():
             with self.subTest(name):
                 engine, other = self.start()
@@ -103,7 +103,7 @@
                 self.fleet.stop()
 
     def test_a_stuck_stream_resumes_at_another_engine_and_leaves_the_first(self):
-        """A stuck engine must cost a stream a second, and no engine may work twice on it."""
+        """A stuck engine may delay a stream by a second, but must not keep working on it."""
         engine, other = self.start()
         engine.pause_before, engine.pause_s = 4, 5.0
         answer = self.ask_stream()
@@ -113,7 +113,7 @@
         self.assertLess(engine.runs[0].ended_at - other.runs[0].at, ABANDON_LIMIT_S)
 
     def test_the_first_engine_to_send_keeps_the_stream(self):
-        """Events of an engine were lost or mixed with those of the engine asked meanwhile."""
+        """Events of the first engine were lost or mixed with those of the hedge."""
         engine, other = self.start()
         engine.pause_before = 4
         other.pause_before, other.pause_s = 0, 1.0
@@ -123,7 +123,7 @@
         self.assertEqual(other.runs[0].ended, "left")
 
     def test_an_engine_that_breaks_during_a_hedge_is_left(self):
-        """The stream waited for an engine that had gone."""
+        """The stream waited for an engine that had closed its connection."""
         engine, other = self.start()
         engine.pause_before = engine.break_after = 4
         other.pause_before, other.pause_s = 0, 0.6
@@ -132,7 +132,7 @@
         self.assertEqual(other.runs[0].headers["last-event-id"], "3")
 
     def test_both_attempts_end_when_the_caller_leaves_during_a_hedge(self):
-        """Two engines went on with a stream that nobody waited for."""
+        """Two engines kept working on a stream whose caller had left."""
         engine, other = self.start()
         for target in (engine, other):
             target.pause_before, target.pause_s = 4, 5.0
@@ -148,7 +148,7 @@
 
 class HedgedServiceTest(ForwarderTest):
     def test_a_slow_answer_is_relayed_when_the_hedge_fails(self):
-        """A slow service was left for a target that refused; the caller got an error."""
+        """A slow target was abandoned for one that refused; the caller got an error."""
         for name, failure in HEDGE_FAILURES.items():
             if failure is break_off:
                 continue
@@ -163,7 +163,7 @@
                 self.fleet.stop()
 
     def test_a_stuck_target_is_left_for_another(self):
-        """A safe request waited for a stuck target until its caller left."""
+        """A safe request waited for a stuck target until the caller gave up."""
         target, _ = self.start(PLAIN)
         target.pause_before, target.pause_s = 0, 5.0
         self.assertEqual(self.fleet.ask("/safe/x").status, 200)
@@ -171,7 +171,7 @@
 
 class FailedAnswerTest(ForwarderTest):
     def test_a_server_error_is_relayed_when_no_other_target_answers(self):
-        """A target's whole failure was replaced by an error of ours."""
+        """A target's complete error answer was replaced by an error of the gateway."""
         for name, failure in HEDGE_FAILURES.items():
             if failure is break_off:
                 continue
@@ -187,7 +187,7 @@
 
 class RefusedTest(ForwarderTest):
     def test_a_refusal_pauses_the_target(self):
-        """Its pause ends at once, as reading its refusal counts as a success."""
+        """The pause ends at once because reading the refusal counts as a success."""
         engine, _ = self.start()
         engine.refuse = True
         self.ask_stream()
--- a/tests/test_agaterail/test_gateway/test_httpserver.py
+++ b/tests/test_agaterail/test_gateway/test_httpserver.py
@@ -15,7 +15,7 @@
     max_header_bytes=4096, max_body_bytes=20000, header_timeout_s=0.3, idle_timeout_s=0.6
 )
 HEAD = b"POST /a/b?q=%2F HTTP/1.1\r\nHost: h\r\n"
-# Each leaves open where the request ends, or how its parts are read.
+# In each, the end of the request or the meaning of a part is ambiguous.
 MALFORMED = {
     "length beside chunks": HEAD
     + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -75,8 +75,8 @@
         return answer
 
     def test_a_malformed_request_is_refused_and_not_handled(self):
-        # A caller hides a second request in what the router takes for a body,
-        # or the other way round. The target must never see it.
+        # Request smuggling: a caller hides a second request in what the router parses
+        # as a body, or the other way round. It must never reach a target.
         smuggled = b"GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n"
         for name, data in MALFORMED.items():
             with self.subTest(name):
@@ -116,9 +116,9 @@
         self.assertEqual(self.exchange(b""), b"")
 
     def test_a_request_in_the_socket_buffer_is_answered_when_idle_connections_close(self):
-        # The host is throttled: the request lies in its socket buffer when the
-        # stop closes idle connections. Closed unread, the caller would lose it
-        # after it was passed on; this happened to requests of a roll.
+        # On a throttled host, a request is still in the socket buffer when the stop
+        # closes idle connections. Closing the connection without reading it lost
+        # requests that callers had already sent during a rollout.
         sock = self.connect()
         gevent.sleep(0.05)
         sock.sendall(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -146,9 +146,9 @@
         self.assertIn(b"Connection: close", answer)
 
     def test_no_request_follows_a_stream_that_started_before_the_stop(self):
-        # The caller sends its next request on the connection of a stream that
-        # ended seconds after SIGTERM. Taken then, it was cut by the process's
-        # end; a connection that is closed unread is tried again elsewhere.
+        # A caller reuses the connection of a stream that ended seconds after SIGTERM.
+        # The accepted request was cut when the process exited. If the connection is
+        # closed without reading the request, the caller retries it elsewhere.
         def handle(inbound, caller):
             self.seen.append(inbound)
             caller.start_stream(200, [], b"id: 1\n\n")
@@ -165,7 +165,7 @@
         self.assertNotIn(b"Connection: close", answer)
 
     def test_heads_of_large_answers_go_before_their_bodies(self):
-        """Askers gave up on an answer that queued, and asked again elsewhere."""
+        """Clients gave up on an answer queued on the link and asked another peer."""
         sent, due = [], gevent.event.Event()
 
         def handle(_inbound, caller):
@@ -188,9 +188,9 @@
         self.assertEqual([data[:4] for data in sent], [b"HTTP"] * 3 + [b"xxxx"] * 3)
 
     def test_a_failed_write_to_the_caller_raises_caller_left(self):
-        # A caller resets its connection in the middle of a stream. The error of
-        # the write must not be taken for a broken target: the stream would be
-        # run again, for nobody.
+        # The caller's connection fails in the middle of a stream. The write error must
+        # not be taken for a failed target, or the stream would run again although the
+        # caller has left.
         raised = []
 
         def handle(_inbound, caller):
--- a/tests/test_agaterail/test_gateway/test_logsink.py
+++ b/tests/test_agaterail/test_gateway/test_logsink.py
@@ -27,9 +27,9 @@
                 return data
 
     def test_a_stalled_reader_does_not_block_writes(self):
-        # The log collector stops reading and the pipe fills. Callers would wait
-        # for a blocking write; instead lines are dropped and counted, and whole
-        # lines follow when the reader is back.
+        # The log collector stops reading and the pipe fills up. A blocking write would
+        # stall all requests. Lines must be dropped and counted instead, and only
+        # complete lines may follow once the collector reads again.
         line = "x" * 999 + "\n"
         for _ in range(200):
             self.sink.write(line)
@@ -48,7 +48,7 @@
         reader, writer = os.pipe()
         sink = LogSink(writer)
         os.close(reader)
-        # Under gevent a descriptor is closed with the loop's next turn.
+        # With gevent, a file descriptor is closed in the next loop iteration.
         gevent.sleep(0.01)
         sink.write("line\n")
         self.assertEqual(sink.dropped_total, 1)
@@ -67,7 +67,7 @@
             return None
 
     def test_routine_lines_do_not_displace_failures(self):
-        # Four times the usual callers: successes alone would fill the log.
+        # At four times the normal load, successes alone would use up the limit.
         routine = [self.passes("Answered.") for _ in range(10)]
         self.assertEqual(sum(item is not None for item in routine), 3)
         self.assertIsNotNone(self.passes("Request failed."))
--- a/tests/test_agaterail/test_gateway/test_targetconnection.py
+++ b/tests/test_agaterail/test_gateway/test_targetconnection.py
@@ -23,8 +23,8 @@
         self.connection.send(b"GET / HTTP/1.1\r\n\r\n", b"", 1.0)
 
     def test_a_late_answer_to_another_request_is_skipped(self):
-        # The doubled answer of an earlier request comes where ours is expected.
-        # Without a look at its id the caller would get another caller's answer.
+        # A duplicate answer to an earlier request arrives first. If its id were not
+        # checked, the caller would get another caller's answer.
         self.target.sendall(answer(b"old", b"theirs") + answer(b"new", b"ours"))
         head = self.connection.read_head("new", time.monotonic() + 1.0)
         self.assertEqual(head.request_id, "new")
@@ -32,7 +32,7 @@
         self.assertFalse(self.connection.finish())
 
     def test_a_truncated_answer_raises_an_error(self):
-        self.target.recv(100)  # read, so that the close is in order and no reset
+        self.target.recv(100)  # unread data would turn the close into a reset
         self.target.sendall(answer(b"new", b"ours")[:-2])
         self.target.close()
         self.connection.read_head("new", time.monotonic() + 1.0)
--- a/tests/test_agaterail/test_logs.py
+++ b/tests/test_agaterail/test_logs.py
@@ -82,9 +82,9 @@
             stand_in.stop()
 
     def test_no_prompt_text_and_no_key_gets_into_the_logs(self):
-        # Requests succeed, fail at the target, are malformed or refused. Some
-        # error texts quote their input; the log, which many people read,
-        # must hold neither the prompt nor the caller's key in any of them.
+        # Requests succeed, fail at the target, are malformed or are refused. Some error
+        # messages quote their input. Many people read the logs, so no line may contain
+        # the prompt or the caller's API key.
         listen, peer = (f"127.0.0.1:{free_port()}" for _ in range(2))
         command = [sys.executable, "-m", "agaterail", "serve", "--log-level", "debug"]
         command += ["--listen", listen, "--peer-listen", peer, "--drain-lag-s", "0"]
--- a/tests/test_agaterail/test_util/test_greenlets.py
+++ b/tests/test_agaterail/test_util/test_greenlets.py
@@ -10,7 +10,7 @@
 
 class RunForeverTest(unittest.TestCase):
     def test_a_step_that_raises_is_logged_and_the_next_one_runs(self):
-        # A fault of ours in one step must not end what keeps the daemon current.
+        # A bug in one step must not end the loop that keeps the daemon up to date.
         logger = mock.Mock()
         steps = iter([None, ValueError("no"), None, gevent.GreenletExit()])
 
