--- a/agaterail/gateway/forwarder.py
+++ b/agaterail/gateway/forwarder.py
@@ -85,7 +85,7 @@
 
     def _fail(self, failure: Failure) -> Failure | None:
         if self.target_failure is not None and not self.answer_started:
-            self._send_whole(self.target_failure)
+            self._send_buffered(self.target_failure)
             return None
         if not self.answer_started:
             return failure
@@ -166,7 +166,7 @@
             attempt.finish()
             return AttemptOutcome.FAILED
         attempt.finish(healthy=not failed)
-        self._send_whole(answer)
+        self._send_buffered(answer)
         return None
 
     def _relay_stream(self, attempt: Attempt, head: AnswerHead) -> AttemptOutcome | None:
@@ -291,7 +291,7 @@
         return self.context.inbound.last_event_id if last is None else str(last)
 
     # Writing to the caller.
-    def _send_whole(self, answer: BufferedAnswer) -> None:
+    def _send_buffered(self, answer: BufferedAnswer) -> None:
         self._mark_answer_started()
         self.context.caller.send_answer(
             answer.head.status, _header_lines(answer.head), answer.body
--- a/agaterail/gateway/httpserver.py
+++ b/agaterail/gateway/httpserver.py
@@ -75,7 +75,7 @@
         self.ready: deque[InboundRequest] = deque()
         self.current: InboundRequest | None = None
         self.head_bytes = 0
-        self.pieces: list[bytes] = []
+        self.body_parts: list[bytes] = []
         self.body_bytes = 0
         self.in_head = False
         self.wants_continue = False
@@ -119,7 +119,7 @@
             method=b"", target=b"", headers=[], received_at=self.now()
         )
         self.in_head = True
-        self.pieces = []
+        self.body_parts = []
         self.body_bytes = 0
 
     def on_url(self, part: bytes) -> None:
@@ -145,7 +145,7 @@
 
     def on_body(self, data: bytes) -> None:
         """Buffer a part of the body."""
-        self.pieces.append(data)
+        self.body_parts.append(data)
         self.body_bytes += len(data)
         if self.body_bytes > self.limits().max_body_bytes:
             raise RequestRefused(413, "the body is too large")
@@ -153,12 +153,12 @@
     def on_message_complete(self) -> None:
         """Queue the complete request."""
         assert self.current is not None
-        self.current.body = b"".join(self.pieces)
+        self.current.body = b"".join(self.body_parts)
         self.current.keep_alive = bool(self.parser.should_keep_alive())
         self.current.complete_at = self.now()
         self.ready.append(self.current)
         self.current = None
-        self.pieces = []
+        self.body_parts = []
 
 
 class CallerConnection:
--- a/agaterail/gateway/targetconnection.py
+++ b/agaterail/gateway/targetconnection.py
@@ -254,12 +254,12 @@
 
     def finish(self) -> bool:
         """End a completely answered request; return whether to keep the connection."""
-        writing = self.writer is not None and not self.writer.ready()
-        extra = len(self.messages) > 1
-        whole = bool(self.messages) and self.messages[0].done
+        is_writing = self.writer is not None and not self.writer.ready()
+        has_unsolicited = len(self.messages) > 1
+        complete = bool(self.messages) and self.messages[0].done
         self.messages.clear()
         self.writer = None
-        if writing or extra or not whole or not self.reusable or self.closed:
+        if is_writing or has_unsolicited or not complete or not self.reusable or self.closed:
             # Part of the request or answer is outstanding, or unsolicited data arrived.
             # On reuse, the next request or answer would be mixed up with it.
             self.close()
--- a/agaterail/util/httpconn.py
+++ b/agaterail/util/httpconn.py
@@ -221,7 +221,7 @@
             return Failure(sent.failure())
         response = sent.unwrap()
         try:
-            return Success((response.status_code, _whole_body(response, on_data)))
+            return Success((response.status_code, _read_body(response, on_data)))
         except Exception as error:
             response.discard()
             return Failure(ExchangeBroken(str(error), isinstance(error, TimeoutError)))
@@ -253,11 +253,11 @@
             found.close()
 
 
-def _whole_body(response: Response, on_data: Callable[[], None]) -> bytes:
-    pieces = []
+def _read_body(response: Response, on_data: Callable[[], None]) -> bytes:
+    parts = []
     on_data()
-    while piece := response.read_available():
+    while data := response.read_available():
         on_data()
-        pieces.append(piece)
+        parts.append(data)
     response.release()
-    return b"".join(pieces)
+    return b"".join(parts)
