--- a/agaterail/gateway/attempt.py
+++ b/agaterail/gateway/attempt.py
@@ -12,7 +12,7 @@
     from agaterail.gateway.inbound import AnswerHead
     from agaterail.gateway.placement import Choice
     from agaterail.gateway.requestcontext import RequestContext
-    from agaterail.gateway.shedding import Waiting
+    from agaterail.gateway.shedding import PendingPrompt
     from agaterail.gateway.targetconnection import TargetConnection
 
 OK_STATUSES = range(200, 300)
@@ -55,7 +55,7 @@
         self.has_events = False
         self.last_event_at = 0.0
         self.is_open = True
-        self.waiting: Waiting | None = None
+        self.waiting: PendingPrompt | None = None
         self.target.in_flight += 1
         self._begin_prefill()
 
--- a/agaterail/gateway/shedding.py
+++ b/agaterail/gateway/shedding.py
@@ -1,4 +1,4 @@
-"""Which part of the prompts is refused so that the others are answered in time."""
+"""Load shedding: refuse part of the prompts so that the others are served in time."""
 
 from __future__ import annotations
 
@@ -9,105 +9,108 @@
 
 logger = logs.get_logger("shedding")
 
-# Waits for first tokens are counted in objectives of their routes, so that routes
-# with different objectives are one measure. A shorter target would leave engines idle
-# while callers are refused.
+# Set point of the controller. Waits for first tokens are measured in units of the
+# route's objective, which makes routes with different objectives comparable. A lower
+# set point would leave engines idle while callers are refused.
 TARGET_WAIT = 0.5
-# Hysteresis: waits between the target and this are usual for seconds after a load of
-# new weights, with empty caches, and pass by themselves.
+# Shedding starts at this wait (hysteresis). After a rollout of new weights, with cold
+# caches, waits between the set point and this value are normal for several seconds and
+# recover without shedding.
 START_WAIT = 1.0
-# Part of their time that long streams need, as bad as a wait at the target and as one
-# at the start of refusing. Engines get slower for seconds after a prompt was admitted,
-# so the start lies below 1.
-TARGET_STRAIN = 0.6
-START_STRAIN = 0.8
-# A longer wait says no more than that the prompt is late.
-LONGEST_WAIT = 2.5
-# Several times within the shortest objective: the wait of prompts that are still
-# waiting shows a flood before their first tokens do.
-PERIOD_S = 0.1
-# Shorter objectives, or none, are no measure for a prompt.
-LEAST_OBJECTIVE_S = 0.1
-# Share of one sample in the moving mean: a flood shows within two periods, and a
-# single prompt with the longest wait does not bring the mean to ``START_WAIT``.
+# Projected duration of a long stream relative to its time limit: the ratios that count
+# as a wait of TARGET_WAIT and of START_WAIT. Engines slow down for seconds after a
+# prompt was admitted, so shedding starts below 1.
+TARGET_TIMEOUT_RATIO = 0.6
+START_TIMEOUT_RATIO = 0.8
+# Longer waits are clamped: they say no more than that the prompt is late.
+MAX_WAIT = 2.5
+# Several control periods fit into the shortest objective: the waits of prompts in
+# flight show an overload before their first tokens do.
+CONTROL_PERIOD_S = 0.1
+# Lower bound on the objective of a route, also used if the route has none.
+MIN_OBJECTIVE_S = 0.1
+# Weight of one sample in the moving average. An overload shows within two periods,
+# while a single prompt at MAX_WAIT does not raise the average to START_WAIT.
 SMOOTHING = 0.3
-# Prompts that have waited longer than the mean count before their first token, if
-# they are most of those that wait and at least so many: one engine that hangs must
-# not stop the prompts to all.
-LEAST_OVERDUE = 3
-# Change of the chance in one period for a wait off its target, and for a change
-# of the wait.
-GAIN_OFFSET = 0.1
-GAIN_CHANGE = 0.3
-# Some prompts still go to the engines, else nothing would show that the flood is over.
-LARGEST_CHANCE = 0.9
-# Periods without a prompt after which nothing is known any more.
-MOST_PERIODS = 20
-# Hysteresis of the log lines that refusals begin and end.
-LOGGED_FROM = 0.2
-LOGGED_UNTIL = 0.01
+# Prompts in flight that have waited longer than the average count before their first
+# token only if there are at least this many and they are at least half of all prompts
+# in flight. A single stuck engine must not stop traffic to all engines.
+MIN_OVERDUE = 3
+# Change of the refusal probability per period, for the deviation of the wait from its
+# set point and for the change of the wait.
+INTEGRAL_GAIN = 0.1
+PROPORTIONAL_GAIN = 0.3
+# Some prompts are always admitted; otherwise nothing would show that the overload is
+# over.
+MAX_REFUSAL_PROBABILITY = 0.9
+# The state is reset after this many periods without a prompt.
+MAX_IDLE_PERIODS = 20
+# Hysteresis of the log messages about the start and end of shedding.
+LOG_ABOVE = 0.2
+LOG_BELOW = 0.01
 
 
 @attrs.define(eq=False)
-class Waiting:
-    """A prompt whose first token has not come."""
+class PendingPrompt:
+    """A prompt whose first token has not arrived."""
 
     since: float
     objective_s: float
 
     def wait(self, now: float) -> float:
-        """Return the wait so far in objectives."""
-        return min(LONGEST_WAIT, (now - self.since) / self.objective_s)
+        """Return the wait so far, in objectives."""
+        return min(MAX_WAIT, (now - self.since) / self.objective_s)
 
 
-class Shedder:
-    """Chance to refuse a prompt of one service.
+class LoadShedder:
+    """Controller of the probability that a prompt of one service is refused.
 
-    Under more prompts than the engines can read every prompt waits, most past its
-    objective, running prompts push cached prefixes out of the engines' memory, and
-    long streams end at their time limit. A proportional and integral controller
-    (RFC 8033) refuses the surplus at random, so no kind, size or workspace is served
-    less often than another. It goes by the worse of two measures: the wait for first
-    tokens, and the time that long streams need at the pace of the running ones. Each
-    daemon goes by its own requests; that needs no word between daemons and no figure
-    of an engine, since a queue at the engines delays the requests of all.
+    When prompts arrive faster than the engines can prefill them, every prompt waits,
+    most miss their objective, running prompts evict cached prefixes from the engines'
+    memory, and long streams hit their time limit. A proportional-integral controller
+    (RFC 8033) refuses the excess at random, so no kind of request, prompt size or
+    workspace is refused more often than another. Its input is the worse of two
+    measures: the wait for first tokens, and the projected duration of long streams at
+    the current pace. Each daemon uses only its own requests. This needs neither
+    coordination between daemons nor data from the engines, because a queue at the
+    engines delays the requests of all daemons.
 
     Attributes
     ----------
     mean_wait
-        Moving mean of the waits for first tokens, in objectives.
-    strain
-        Part of its time that a long stream needs.
+        Moving average of the waits for first tokens, in objectives.
+    timeout_ratio
+        Projected duration of a long stream relative to its time limit.
     level
-        The worse of the two, as a wait in objectives.
-    chance
-        Chance from 0 to 1 that a prompt is refused.
+        The worse of the two measures, expressed as a wait in objectives.
+    refusal_probability
+        Probability that a prompt is refused.
     """
 
     def __init__(self, service: str, now: float) -> None:
         self.service = service
-        self.waiting: set[Waiting] = set()
+        self.waiting: set[PendingPrompt] = set()
         self.samples: list[float] = []
         self.mean_wait = 0.0
-        self.chance = 0.0
+        self.refusal_probability = 0.0
         self.stepped_at = now
         self.refusing = False
         self.pace = StreamPace()
-        self.strain = 0.0
+        self.timeout_ratio = 0.0
         self.level = 0.0
 
-    def begin(self, objective_s: float, now: float) -> Waiting:
-        """Take in that a prompt goes to an engine."""
-        waiting = Waiting(now, max(LEAST_OBJECTIVE_S, objective_s))
+    def begin(self, objective_s: float, now: float) -> PendingPrompt:
+        """Register a prompt that is sent to an engine."""
+        waiting = PendingPrompt(now, max(MIN_OBJECTIVE_S, objective_s))
         self.waiting.add(waiting)
         return waiting
 
-    def end(self, waiting: Waiting, now: float, first_token: bool = True) -> None:
-        """Take in that a prompt's first token came, or that it is not waited for.
+    def end(self, waiting: PendingPrompt, now: float, first_token: bool = True) -> None:
+        """Record a prompt's first token, or the end of its wait without one.
 
-        How long a prompt waited that was refused, broken or left says only that its
-        first token would have come later; a full engine's quick refusals must not
-        pass for quick tokens.
+        If the prompt was refused, broken off or abandoned, its wait is only a lower bound
+        for its first token, so it counts only above the average. Otherwise the quick
+        refusals of a full engine would count as quick first tokens.
         """
         if waiting not in self.waiting:
             return
@@ -116,42 +119,45 @@
         if first_token or wait > self.mean_wait:
             self.samples.append(wait)
 
-    def refuses(self, number: float, now: float) -> bool:
+    def should_refuse(self, number: float, now: float) -> bool:
         """Decide on one prompt by a random number from 0 to 1."""
         self._advance(now)
-        return number < self.chance
+        return number < self.refusal_probability
 
     def _advance(self, now: float) -> None:
-        periods = int((now - self.stepped_at) / PERIOD_S)
+        periods = int((now - self.stepped_at) / CONTROL_PERIOD_S)
         if periods <= 0:
             return
         self.stepped_at = now
-        if periods > MOST_PERIODS:
-            # No prompt came, or this host was frozen: then all that it waits for
-            # looks late, and refusing would turn callers away from idle engines.
+        if periods > MAX_IDLE_PERIODS:
+            # Either there was no prompt, or this host was suspended. In the latter case
+            # all prompts in flight look late, and shedding would refuse callers while
+            # the engines are idle.
             self.samples.clear()
             self.waiting.clear()
-            self.mean_wait = self.level = self.chance = 0.0
-        self.strain = self.pace.strain(now)
-        for _ in range(min(MOST_PERIODS, periods)):
+            self.mean_wait = self.level = self.refusal_probability = 0.0
+        self.timeout_ratio = self.pace.timeout_ratio(now)
+        for _ in range(min(MAX_IDLE_PERIODS, periods)):
             self._step(now)
-        self._log_change()
+        self._log_transition()
 
     def _step(self, now: float) -> None:
         before = self.level
         self.mean_wait = self._mean(now)
-        self.level = max(self.mean_wait, _wait_of_strain(self.strain))
-        if self.chance <= 0.0 and self.level < START_WAIT:
+        self.level = max(self.mean_wait, _wait_for_timeout_ratio(self.timeout_ratio))
+        if self.refusal_probability <= 0.0 and self.level < START_WAIT:
             return
-        change = GAIN_OFFSET * (self.level - TARGET_WAIT)
-        change += GAIN_CHANGE * (self.level - before)
-        self.chance = min(LARGEST_CHANCE, max(0.0, self.chance + change))
+        change = INTEGRAL_GAIN * (self.level - TARGET_WAIT)
+        change += PROPORTIONAL_GAIN * (self.level - before)
+        self.refusal_probability = min(
+            MAX_REFUSAL_PROBABILITY, max(0.0, self.refusal_probability + change)
+        )
 
     def _mean(self, now: float) -> float:
         before = self.mean_wait
         samples, self.samples = self.samples, []
         overdue = [wait for item in self.waiting if (wait := item.wait(now)) > before]
-        if len(overdue) >= max(LEAST_OVERDUE, len(self.waiting) / 2):
+        if len(overdue) >= max(MIN_OVERDUE, len(self.waiting) / 2):
             samples += overdue
         if not samples and not self.waiting:
             samples = [0.0]
@@ -160,23 +166,23 @@
         share = 1.0 - (1.0 - SMOOTHING) ** len(samples)
         return before + share * (sum(samples) / len(samples) - before)
 
-    def _log_change(self) -> None:
-        limit = LOGGED_UNTIL if self.refusing else LOGGED_FROM
-        if (self.chance > limit) == self.refusing:
+    def _log_transition(self) -> None:
+        limit = LOG_BELOW if self.refusing else LOG_ABOVE
+        if (self.refusal_probability > limit) == self.refusing:
             return
         self.refusing = not self.refusing
         logger.info(
-            "Refusing prompts." if self.refusing else "No longer refusing prompts.",
+            "Load shedding started." if self.refusing else "Load shedding stopped.",
             service=self.service,
-            chance=round(self.chance, 2),
+            chance=round(self.refusal_probability, 2),
             mean_wait=round(self.mean_wait, 2),
-            strain=round(self.strain, 2),
+            strain=round(self.timeout_ratio, 2),
             waiting=len(self.waiting),
         )
 
 
-def _wait_of_strain(strain: float) -> float:
-    """Return the wait for first tokens that calls for as much refusing."""
-    part = (strain - TARGET_STRAIN) / (START_STRAIN - TARGET_STRAIN)
+def _wait_for_timeout_ratio(ratio: float) -> float:
+    """Return the wait for first tokens that is equivalent to a timeout ratio."""
+    part = (ratio - TARGET_TIMEOUT_RATIO) / (START_TIMEOUT_RATIO - TARGET_TIMEOUT_RATIO)
     wait = TARGET_WAIT + part * (START_WAIT - TARGET_WAIT)
-    return min(LONGEST_WAIT, max(0.0, wait))
+    return min(MAX_WAIT, max(0.0, wait))
--- a/tests/test_agaterail/test_outcomes.py
+++ b/tests/test_agaterail/test_outcomes.py
@@ -60,13 +60,13 @@
     ("filters/forward.py", "_refusal"): DEFINED,
     ("filters/forward.py", "_send_failure"): NO_BYTE,
     ("gateway/handler.py", "_admit"): BEFORE_A_TARGET,
-    ("gateway/handler.py", "_denied"): BEFORE_A_TARGET,
+    ("gateway/handler.py", "_denial"): BEFORE_A_TARGET,
     ("gateway/handler.py", "_workspace"): BEFORE_A_TARGET,
-    # Only while no target may have run the request (tests of Attempts).
+    # Only while no target may have run the request (tests of RetryState).
     ("gateway/attempts.py", "error_kind"): DEFINED,
-    ("gateway/sender.py", "_given_up"): DEFINED,
+    ("gateway/sender.py", "_give_up"): DEFINED,
     # Only before the first send.
-    ("gateway/sender.py", "_overload"): BEFORE_A_TARGET,
+    ("gateway/sender.py", "_check_overload"): BEFORE_A_TARGET,
 }
 # Places that name such a kind and answer nothing with it.
 NO_ANSWER = {("filters/retry.py", "handle"), ("filters/retry.py", "<module>")}
