--- a/agaterail/gateway/channels.py
+++ b/agaterail/gateway/channels.py
@@ -1,10 +1,10 @@
-"""Kept connections to targets."""
+"""Pool of idle keep-alive connections to targets."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from agaterail.gateway.channel import Channel
+from agaterail.gateway.targetconnection import TargetConnection
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -12,90 +12,100 @@
     from agaterail.gateway.inbound import AnswerHead
     from agaterail.gateway.targets import Target
 
-# A kept connection that its target is about to close may break while a request
-# is on its way, and nobody knows then whether it ran. For requests that must
-# not run twice only the first part of the announced time is used.
-MARGIN_REPEATABLE = 0.8
-MARGIN_ONCE = 0.5
-# Targets that announce no time close idle connections after seconds as a rule.
-UNANNOUNCED_IDLE_S = 2.0
-# A target without power answers nothing, and a request on a kept connection to
-# it waits in vain; one that must not run twice is lost with that. So a kept
-# connection is used only if the target was heard of lately. A new one proves
-# by its handshake, a millisecond, that somebody is there.
-HEARD_REPEATABLE_S = 1.0
-HEARD_ONCE_S = 0.25
+# If the target closes an idle connection while a request is on its way, it is unknown
+# whether the request ran. Connections are therefore reused only for this fraction of
+# the announced keep-alive timeout, a smaller one for at-most-once requests.
+IDEMPOTENT_KEEP_ALIVE_FRACTION = 0.8
+AT_MOST_ONCE_KEEP_ALIVE_FRACTION = 0.5
+# Targets that announce no timeout usually close idle connections after a few seconds.
+DEFAULT_KEEP_ALIVE_S = 2.0
+# On an idle connection to a host that lost power, a request waits until it times out,
+# and an at-most-once request is lost, since it cannot be retried. So an idle connection
+# is reused only if the target sent data within this time. Otherwise a new connection
+# is made, whose handshake shows within a millisecond that the target is up.
+IDEMPOTENT_MAX_SILENCE_S = 1.0
+AT_MOST_ONCE_MAX_SILENCE_S = 0.25
 
 
-class ChannelPool:
-    """Idle connections by target, the last used first."""
+class ConnectionPool:
+    """Idle connections by target; the most recently used one is reused first."""
 
     def __init__(self, decode: Callable[..., AnswerHead], now: Callable[[], float]) -> None:
         self.decode = decode
         self.now = now
-        self.idle: dict[str, list[Channel]] = {}
+        self.idle: dict[str, list[TargetConnection]] = {}
         self.opened = 0
 
-    def take(self, target: Target, idempotent: bool, connect_timeout_s: float) -> Channel:
-        """Return a kept connection that still looks sound, or a new one.
+    def acquire(
+        self, target: Target, idempotent: bool, connect_timeout_s: float
+    ) -> TargetConnection:
+        """Return an idle connection that still looks usable, or a new one.
 
         Raises
         ------
         OSError
-            If no connection was made; nothing was sent then.
+            If the connection could not be established; nothing was sent.
         """
-        margin = MARGIN_REPEATABLE if idempotent else MARGIN_ONCE
-        heard_s = HEARD_REPEATABLE_S if idempotent else HEARD_ONCE_S
-        heard = self.now() - target.heard_at < heard_s
-        kept = self.idle.get(target.instance, [])
-        while kept and heard:
-            channel = kept.pop()
-            if self._is_young(channel, margin) and not channel.is_stale(margin):
-                return channel
-            channel.close()
+        keep_alive_fraction = (
+            IDEMPOTENT_KEEP_ALIVE_FRACTION if idempotent else AT_MOST_ONCE_KEEP_ALIVE_FRACTION
+        )
+        max_silence_s = IDEMPOTENT_MAX_SILENCE_S if idempotent else AT_MOST_ONCE_MAX_SILENCE_S
+        is_alive = self.now() - target.heard_at < max_silence_s
+        idle = self.idle.get(target.instance, [])
+        while idle and is_alive:
+            connection = idle.pop()
+            if self._is_within_idle_limit(
+                connection, keep_alive_fraction
+            ) and not connection.is_stale(keep_alive_fraction):
+                return connection
+            connection.close()
         self.opened += 1
-        channel = Channel.connect(target.address, connect_timeout_s, self.decode, self.now)
-        channel.on_data = lambda: self._note_heard(target)
-        self._note_heard(target)
-        return channel
-
-    def give_back(self, target: Target, channel: Channel) -> None:
-        """Keep a connection whose answer was read whole."""
-        if channel.finish():
+        connection = TargetConnection.connect(
+            target.address, connect_timeout_s, self.decode, self.now
+        )
+        connection.on_data = lambda: self._record_heard(target)
+        self._record_heard(target)
+        return connection
+
+    def release(self, target: Target, connection: TargetConnection) -> None:
+        """Return a connection to the pool after its answer was read completely."""
+        if connection.finish():
             if target.gone:
-                channel.close()
+                connection.close()
                 return
-            self.idle.setdefault(target.instance, []).append(channel)
+            self.idle.setdefault(target.instance, []).append(connection)
 
-    def give_back_unused(self, target: Target, channel: Channel) -> None:
-        """Keep a connection on which nothing was sent since it was taken."""
-        channel.idle_since = self.now()
-        self.idle.setdefault(target.instance, []).append(channel)
+    def release_unused(self, target: Target, connection: TargetConnection) -> None:
+        """Return a connection to the pool on which nothing was sent since ``acquire``."""
+        connection.idle_since = self.now()
+        self.idle.setdefault(target.instance, []).append(connection)
 
     def drop(self, target: Target) -> None:
         """Close the idle connections to a target that is gone."""
-        for channel in self.idle.pop(target.instance, []):
-            channel.close()
+        for connection in self.idle.pop(target.instance, []):
+            connection.close()
 
     def close_stale(self) -> None:
-        """Close idle connections that will not be used again."""
-        for instance, kept in list(self.idle.items()):
-            sound = []
-            for channel in kept:
-                if self._is_young(channel, MARGIN_REPEATABLE) and not channel.is_stale(
-                    MARGIN_REPEATABLE
-                ):
-                    sound.append(channel)
+        """Close idle connections that can no longer be reused."""
+        for instance, idle in list(self.idle.items()):
+            usable = []
+            for connection in idle:
+                if self._is_within_idle_limit(
+                    connection, IDEMPOTENT_KEEP_ALIVE_FRACTION
+                ) and not connection.is_stale(IDEMPOTENT_KEEP_ALIVE_FRACTION):
+                    usable.append(connection)
                 else:
-                    channel.close()
-            self.idle[instance] = sound
-            if not sound:
+                    connection.close()
+            self.idle[instance] = usable
+            if not usable:
                 del self.idle[instance]
 
-    def _note_heard(self, target: Target) -> None:
+    def _record_heard(self, target: Target) -> None:
         target.heard_at = self.now()
 
-    def _is_young(self, channel: Channel, margin: float) -> bool:
-        if channel.keep_alive_s is not None:
+    def _is_within_idle_limit(
+        self, connection: TargetConnection, keep_alive_fraction: float
+    ) -> bool:
+        if connection.keep_alive_s is not None:
             return True
-        return self.now() - channel.idle_since < UNANNOUNCED_IDLE_S * margin
+        return self.now() - connection.idle_since < DEFAULT_KEEP_ALIVE_S * keep_alive_fraction
--- a/agaterail/gateway/eventstream.py
+++ b/agaterail/gateway/eventstream.py
@@ -1,89 +1,91 @@
-"""Whole events of a stream, numbered by their ids, across several runs."""
+"""Split event streams into complete events, without repeats across several runs."""
 
 from __future__ import annotations
 
 import attrs
 
-# An event without an end would be kept in memory for as long as it comes.
+# Without a limit, an event that never ends would be buffered without bound.
 MAX_EVENT_BYTES = 1024 * 1024
 ID_FIELD = b"id"
 
 
 @attrs.define
-class EventCutter:
-    """Cuts a target's bytes into whole events and drops those sent before.
+class EventSplitter:
+    """Splits a target's data into complete events and drops those relayed before.
 
-    Only whole events are passed on: a target may end in the middle of one, and
-    the half of an event followed by a new run's events would read as one
-    garbled event.
+    Only complete events are relayed: a target may fail in the middle of one, and the
+    caller would parse that part together with the next run's events as one corrupt
+    event.
 
     Attributes
     ----------
     last_id
-        Id of the last event that was passed on; None before the first.
-    rest
-        Bytes of an event that has not ended yet.
+        Id of the last event that was relayed; None before the first.
+    partial
+        Data of an event that is not complete yet.
     broken
-        An event has no usable id, or is too long; nothing more is passed on.
+        Whether an event exceeded the size limit; nothing more is relayed then.
+    event_count
+        Number of events with an id that were relayed.
     """
 
     last_id: int | None = None
-    rest: bytes = b""
+    partial: bytes = b""
     broken: bool = False
-    passed: int = 0
+    event_count: int = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Return the new whole events in the data."""
-        buffered = self.rest + data
+        """Return the complete new events after adding the data."""
+        buffered = self.partial + data
         end = _last_boundary(buffered)
         if end == 0:
-            self.rest = buffered
+            self.partial = buffered
             self.broken = self.broken or len(buffered) > MAX_EVENT_BYTES
             return b""
-        self.rest = buffered[end:]
+        self.partial = buffered[end:]
         if self.broken:
             return b""
-        fresh = [event for event in _events(buffered[:end]) if self._is_new(event)]
-        return b"".join(fresh)
+        new_events = [event for event in _events(buffered[:end]) if self._is_new(event)]
+        return b"".join(new_events)
 
-    def ends_event(self, data: bytes) -> bool:
-        """Tell whether an event ends in the data, were it fed now."""
-        return _last_boundary(self.rest + data) > 0
+    def completes_event(self, data: bytes) -> bool:
+        """Return whether the data would complete an event, without consuming it."""
+        return _last_boundary(self.partial + data) > 0
 
-    def restart(self) -> None:
-        """Forget the event that the former run left unfinished."""
-        self.rest = b""
+    def discard_partial(self) -> None:
+        """Discard the incomplete event of the previous run."""
+        self.partial = b""
 
     def _is_new(self, event: bytes) -> bool:
         if self.broken:
             return False
         number = _event_id(event)
         if number is None:
-            # A comment or a preamble has no id and cannot be a repeat.
+            # A comment or preamble has no id, so it cannot be recognized as a repeat.
             return True
         if self.last_id is not None and number <= self.last_id:
             return False
         self.last_id = number
-        self.passed += 1
+        self.event_count += 1
         return True
 
 
 def _last_boundary(data: bytes) -> int:
-    plain = data.rfind(b"\n\n")
+    lf = data.rfind(b"\n\n")
     crlf = data.rfind(b"\r\n\r\n")
-    return max(plain + 2 if plain >= 0 else 0, crlf + 4 if crlf >= 0 else 0)
+    return max(lf + 2 if lf >= 0 else 0, crlf + 4 if crlf >= 0 else 0)
 
 
 def _events(data: bytes) -> list[bytes]:
     events = []
     start = 0
     while start < len(data):
-        plain = data.find(b"\n\n", start)
+        lf = data.find(b"\n\n", start)
         crlf = data.find(b"\r\n\r\n", start)
         ends = [
-            place
-            for place in (plain + 2 if plain >= 0 else 0, crlf + 4 if crlf >= 0 else 0)
-            if place
+            position
+            for position in (lf + 2 if lf >= 0 else 0, crlf + 4 if crlf >= 0 else 0)
+            if position
         ]
         end = min(ends, default=len(data))
         events.append(data[start:end])
--- /dev/null
+++ b/agaterail/gateway/requestcontext.py
@@ -0,0 +1,44 @@
+"""A request with its route, service, deadline and progress."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import attrs
+
+if TYPE_CHECKING:
+    from agaterail.gateway.attempts import RetryState
+    from agaterail.gateway.desired import Route, Workspace
+    from agaterail.gateway.httpserver import CallerConnection
+    from agaterail.gateway.inbound import InboundRequest
+
+
+@attrs.define(kw_only=True)
+class RequestContext:
+    """One request and what the gateway decided and recorded about it.
+
+    Attributes
+    ----------
+    deadline
+        Time by which the last byte of the answer must be sent.
+    saves
+        Whether the engine was told to save the prompt.
+    """
+
+    inbound: InboundRequest
+    route: Route
+    service: str
+    workspace: Workspace | None
+    deadline: float
+    caller: CallerConnection
+    retry_state: RetryState
+    first_byte_at: float | None = None
+    target: str = ""
+    truncated: bool = False
+    saves: bool = False
+
+    @property
+    def first_byte_s(self) -> float | None:
+        """Return the seconds until the answer's first byte; None before it was sent."""
+        at = self.first_byte_at
+        return None if at is None else at - self.inbound.received_at
--- a/tests/test_agaterail/test_gateway/test_cachedirectives.py
+++ b/tests/test_agaterail/test_gateway/test_cachedirectives.py
@@ -30,13 +30,13 @@
         self.asked = []
         self.saves = True
 
-    def directives(self, job, version=4, stores=STORES):
+    def directives(self, context, version=4, stores=STORES):
         def should_save(save_query):
             self.asked.append(save_query)
             return self.saves
 
         return cache_directives(
-            job, SimpleNamespace(weights_version=version), stores, should_save
+            context, SimpleNamespace(weights_version=version), stores, should_save
         )
 
     def test_a_request_without_a_prompt_has_no_directives(self):
--- a/tests/test_agaterail/test_gateway/test_kvsavecontroller.py
+++ b/tests/test_agaterail/test_gateway/test_kvsavecontroller.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Success
 
 from agaterail.gateway import kvsavecontroller
-from agaterail.gateway.inbound import part_key
+from agaterail.gateway.inbound import normalize_part_name
 from agaterail.gateway.kvsavecontroller import KvSaveController, decode_query, encode_query
 from agaterail.gateway.kvstoreindex import CacheChange, CacheChangeBatch, CacheFeed, SaveQuery
 
@@ -72,7 +72,7 @@
     def test_removed_stores_are_dropped(self):
         spawned = {}
 
-        def spawn(_repeat, _step, _logger, _sentence, _pause_s, store):
+        def spawn(_run_forever, _step, _logger, _event, _pause_s, store):
             spawned[store] = mock.Mock()
             return spawned[store]
 
@@ -119,7 +119,7 @@
                 self.kept.answer(bad)
 
     def test_part_keys_ignore_case_and_leading_zeros(self):
-        self.assertEqual(part_key("05E4335fcd0e"), "5e4335fcd0e")
+        self.assertEqual(normalize_part_name("05E4335fcd0e"), "5e4335fcd0e")
 
 
 if __name__ == "__main__":
--- a/tests/test_agaterail/test_outcomes.py
+++ b/tests/test_agaterail/test_outcomes.py
@@ -60,13 +60,13 @@
     ("filters/forward.py", "_refusal"): EXPLICIT_REFUSAL,
     ("filters/forward.py", "_send_failure"): NOTHING_SENT,
     ("gateway/handler.py", "_admit"): BEFORE_FORWARDING,
-    ("gateway/handler.py", "_denied"): BEFORE_FORWARDING,
+    ("gateway/handler.py", "_denial"): BEFORE_FORWARDING,
     ("gateway/handler.py", "_workspace"): BEFORE_FORWARDING,
-    # Only while no target may have run the request (tests of Attempts).
+    # Only while no target may have run the request (tests of RetryState).
     ("gateway/attempts.py", "error_kind"): EXPLICIT_REFUSAL,
-    ("gateway/sender.py", "_given_up"): EXPLICIT_REFUSAL,
+    ("gateway/sender.py", "_give_up"): EXPLICIT_REFUSAL,
     # Only before the first send.
-    ("gateway/sender.py", "_overload"): BEFORE_FORWARDING,
+    ("gateway/sender.py", "_check_overload"): BEFORE_FORWARDING,
 }
 # Functions that refer to such a kind without answering with it.
 NOT_ANSWERED = {("filters/retry.py", "handle"), ("filters/retry.py", "<module>")}
