--- a/agaterail/gateway/logsink.py
+++ b/agaterail/gateway/logsink.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output that never hold the daemon up."""
+"""Non-blocking output of log lines."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 
 class LogSink:
-    """File-like object that writes lines without waiting.
+    """File-like object that writes log lines without blocking.
 
-    A reader that stops reading fills the pipe; a blocking write would then stop
-    every request of the process. Lines that do not fit are counted, and the
-    count is written in their place once the reader is back.
+    If the log collector stops reading, the pipe fills up, and a blocking write would
+    stall every request of the process. Lines that do not fit are dropped and counted;
+    the count is written once the collector reads again.
     """
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         self.dropped = 0
-        self.dropped_in_all = 0
-        self.rest = b""
+        self.dropped_total = 0
+        self.partial_line = b""
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Write text, or count it as dropped."""
+        """Write the text, or drop and count it."""
         data = text.encode("utf-8", "replace")
-        if self.rest and not self._flush_rest():
+        if self.partial_line and not self._flush_partial_line():
             self._drop()
             return len(text)
         if self.dropped:
-            note = b'{"event": "Log lines dropped.", "count": %d}\n' % self.dropped
-            data = note + data
+            notice = b'{"event": "Log lines dropped.", "count": %d}\n' % self.dropped
+            data = notice + data
         if self._write(data):
             self.dropped = 0
         else:
@@ -37,25 +37,25 @@
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: nothing is kept back that could be written."""
+        """Do nothing, since there is no buffer to flush."""
 
     def _drop(self) -> None:
         self.dropped += 1
-        self.dropped_in_all += 1
+        self.dropped_total += 1
 
-    def _flush_rest(self) -> bool:
-        rest = self.rest
-        return self._write(rest) and not self.rest
+    def _flush_partial_line(self) -> bool:
+        rest = self.partial_line
+        return self._write(rest) and not self.partial_line
 
     def _write(self, data: bytes) -> bool:
-        """Write what fits; tells whether any of it did."""
+        """Write as much as fits; return whether anything was written."""
         try:
             written = os.write(self.descriptor, data)
         except OSError as error:
             if error.errno not in (errno.EAGAIN, errno.EPIPE):
                 raise
-            # Nobody reads, or the pipe is full.
+            # The pipe is full or has no reader.
             return False
-        # A line that was begun is ended later, so that lines stay whole.
-        self.rest = data[written:]
+        # The next write completes a partly written line first, so lines stay intact.
+        self.partial_line = data[written:]
         return True
--- a/agaterail/gateway/metrics.py
+++ b/agaterail/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of one daemon, served as text."""
+"""Metrics of the daemon in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from agaterail import logs
 from agaterail.gateway.desired import CallerLimits
-from agaterail.gateway.front import Front
+from agaterail.gateway.httpserver import HttpServer
 
 if TYPE_CHECKING:
     from agaterail.gateway.daemon import Daemon
-    from agaterail.gateway.front import CallerConnection
-    from agaterail.gateway.inbound import Inbound
+    from agaterail.gateway.httpserver import CallerConnection
+    from agaterail.gateway.inbound import InboundRequest
     from agaterail.util.address import Address
 
 logger = logs.get_logger("metrics")
 
 PREFIX = "agaterail"
-# Seconds; objectives are 0.1 to 0.5 s and time limits up to 15 s.
+# Latency objectives range from 0.1 to 0.5 s, time limits up to 15 s.
 BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 3.5, 6.0, 15.0)
 OK = 200
 NOT_FOUND = 404
@@ -27,7 +27,7 @@
 
 
 class GatewayMetrics:
-    """The metrics; docs/OPERATIONS.md says what each tells."""
+    """The daemon's metrics, which docs/OPERATIONS.md explains."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -82,17 +82,17 @@
             )
         }
 
-    def text(self, daemon: Daemon) -> bytes:
-        """Return all metrics as text."""
-        self._sample(daemon)
+    def render(self, daemon: Daemon) -> bytes:
+        """Return all metrics in the Prometheus text format."""
+        self._update_gauges(daemon)
         return generate_latest(self.registry)
 
-    def _sample(self, daemon: Daemon) -> None:
+    def _update_gauges(self, daemon: Daemon) -> None:
         now = daemon.now()
         targets = list(daemon.book.targets.values())
         desired = daemon.state.desired
         values = {
-            "in_flight": daemon.front.busy,
+            "in_flight": daemon.front.active_requests,
             "reading_age_seconds": daemon.freshness.age_s(now),
             "desired_version": -1 if desired is None else desired.version,
             "targets_usable": sum(target.is_usable(now) for target in targets),
@@ -111,19 +111,21 @@
             self.gauges[name].set(value)
 
 
-def start_metrics(daemon: Daemon, address: Address, path: bytes) -> Front | None:
-    """Serve the metrics at one path; without the address the daemon runs on."""
+def start_metrics(daemon: Daemon, address: Address, path: bytes) -> HttpServer | None:
+    """Serve the metrics at one path; if the address cannot be bound, only log that."""
 
-    def handle(inbound: Inbound, caller: CallerConnection) -> None:
+    def handle(inbound: InboundRequest, caller: CallerConnection) -> None:
         if inbound.path != path:
             caller.send_answer(NOT_FOUND, [], b"")
             return
-        caller.send_answer(OK, [CONTENT_TYPE], daemon.metrics.text(daemon))
+        caller.send_answer(OK, [CONTENT_TYPE], daemon.metrics.render(daemon))
 
     try:
-        server = Front(address, handle, CallerLimits, daemon.now)
+        server = HttpServer(address, handle, CallerLimits, daemon.now)
     except OSError as error:
-        logger.warning("Metrics are not served.", address=str(address), reason=str(error))
+        logger.warning(
+            "Could not start the metrics server.", address=str(address), reason=str(error)
+        )
         return None
     server.start()
     return server
--- a/agaterail/story.py
+++ b/agaterail/requesttrace.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the log lines of several hosts."""
+"""Trace of one request, assembled from the log lines of several hosts."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Left out of the shown fields: they are shown in front, or the same in each line.
-SHOWN_APART = frozenset({"timestamp", "host", "part", "event", "level", "request"})
-# Lines without a request's id that may have decided about it.
-BELIEF_PARTS = frozenset({"state", "feeds", "weights", "fleet", "stop", "main"})
+# Shown at the start of a line or the same in every line, so not repeated as fields.
+PREFIX_FIELDS = frozenset({"timestamp", "host", "part", "event", "level", "request"})
+# Parts whose lines name no request but describe state that decisions depend on.
+STATE_PARTS = frozenset({"state", "feeds", "weights", "fleet", "stop", "main"})
 
 
 @attrs.frozen(order=True)
-class Line:
-    """One log line."""
+class LogLine:
+    """A parsed log line; lines sort by time."""
 
     timestamp: str
     host: str
@@ -29,7 +29,7 @@
 
     @property
     def target(self) -> str:
-        """Return the target that the line is about; empty if none."""
+        """Return the target that the line names; empty if none."""
         return str(dict(self.fields).get("target") or "")
 
     def __str__(self) -> str:
@@ -37,8 +37,8 @@
         return f"{self.timestamp} {self.host} {self.part}: {self.event} {pairs}".rstrip()
 
 
-def parse(raw: Iterable[str]) -> list[Line]:
-    """Return the log lines in a text; whatever stands before a line's brace is left out."""
+def parse_log_lines(raw: Iterable[str]) -> list[LogLine]:
+    """Parse JSON log lines, ignoring any prefix before the brace and all other lines."""
     lines = []
     for text in raw:
         start = text.find("{")
@@ -47,16 +47,16 @@
         try:
             found = json.loads(text[start:])
         except ValueError:
-            continue  # a line of another program, or one that was cut
+            continue  # a line of another program, or a truncated one
         if not isinstance(found, dict) or "event" not in found:
             continue
         fields = tuple(
             (name, value)
             for name, value in found.items()
-            if name not in SHOWN_APART and value is not None
+            if name not in PREFIX_FIELDS and value is not None
         )
         lines.append(
-            Line(
+            LogLine(
                 timestamp=str(found.get("timestamp", "")),
                 host=str(found.get("host", "")),
                 part=str(found.get("part", "")),
@@ -68,37 +68,37 @@
     return lines
 
 
-def story(lines: Iterable[Line], request_id: str, around_s: float) -> list[Line]:
-    """Return a request's lines with what its hosts came to believe around them.
+def trace_request(lines: Iterable[LogLine], request_id: str, around_s: float) -> list[LogLine]:
+    """Return a request's lines and the state changes on its hosts at that time.
 
     Parameters
     ----------
     around_s
-        Seconds before the first line of the request, up to its last, from which
-        lines of belief are shown: those of its hosts, about its targets or none.
+        State changes are included from this many seconds before the request's first
+        line up to its last, if they name one of its targets or no target.
     """
     lines = list(lines)
-    own = sorted(line for line in lines if line.request == request_id)
-    if not own:
+    request_lines = sorted(line for line in lines if line.request == request_id)
+    if not request_lines:
         return []
-    hosts = {line.host for line in own}
-    targets = {line.target for line in own} | {""}
-    start = seconds_of_day(own[0].timestamp) - around_s
-    end = seconds_of_day(own[-1].timestamp)
-    beliefs = [
+    hosts = {line.host for line in request_lines}
+    targets = {line.target for line in request_lines} | {""}
+    start = seconds_of_day(request_lines[0].timestamp) - around_s
+    end = seconds_of_day(request_lines[-1].timestamp)
+    state_lines = [
         line
         for line in lines
         if not line.request
         and line.host in hosts
-        and line.part in BELIEF_PARTS
+        and line.part in STATE_PARTS
         and line.target in targets
         and start <= seconds_of_day(line.timestamp) <= end
     ]
-    return sorted([*own, *beliefs])
+    return sorted([*request_lines, *state_lines])
 
 
 def seconds_of_day(timestamp: str) -> float:
-    """Return the seconds of a day in a timestamp; enough to tell what is near."""
+    """Return the time of day of a timestamp in seconds; NaN if it cannot be parsed."""
     clock = timestamp.partition("T")[2].rstrip("Z")
     try:
         hours, minutes, seconds = clock.split(":")
--- a/tests/test_agaterail/test_filters/test_claim.py
+++ b/tests/test_agaterail/test_filters/test_claim.py
@@ -56,12 +56,12 @@
         return error["code"], error["outcome"]
 
     def crash(self, number):
-        """Replace a daemon by a new one that knows nothing."""
+        """Replace a daemon with a new one that has no state."""
         self.kill(number)
         self.daemons[number] = self.start_daemon(ADDRESSES[number])
 
     def kill(self, number):
-        """Stop a daemon with all that it had queued."""
+        """Stop a daemon and drop everything that it had queued."""
         self.daemons[number].stop()
         controller = self.daemons[number].app.controllers["claims"]
         for forwarder in controller.forwarders.values():
@@ -85,7 +85,7 @@
         self.log.append(stream, codec.encode(batch))
 
 
-class OneKeyTest(ClaimCase):
+class IdempotencyKeyTest(ClaimCase):
     def test_a_repeat_gets_the_recorded_answer(self):
         first, body = self.swap(0)
         self.assertEqual(first.status_code, 200)
@@ -97,7 +97,7 @@
             self.assertEqual(again["x-agaterail-replayed"], "true")
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_a_large_answer_is_told_by_its_digest(self):
+    def test_a_repeat_of_a_large_answer_gets_its_digest(self):
         key = {"idempotency-key": "k1"}
         for _ in range(2):
             response, body = self.daemons[0].post("/booking/swap", b"x" * 4000, key)
@@ -109,8 +109,9 @@
         )
 
     def test_the_same_key_through_two_daemons_at_once_runs_once(self):
-        # The balancer brings one top-up through two daemons in the same moment.
-        # Both claim it; the first offset wins, the other is told it is running.
+        # The load balancer sends one request through two daemons at the same time. Both
+        # claim its key; the first offset wins, and the other is told that the request
+        # is in progress.
         self.service.faults.slow_ms = 200
         jobs = [gevent.spawn(self.swap, number % 2) for number in range(6)]
         gevent.joinall(jobs)
@@ -127,9 +128,9 @@
         self.assertEqual(again.status_code, 500)
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_a_connection_cut_after_the_call_leaves_the_key_unknown(self):
-        # The service books the swap and the connection breaks before its
-        # answer. Nobody knows the outcome, so a repeat must not book again.
+    def test_a_connection_lost_after_the_call_leaves_the_outcome_unknown(self):
+        # The service books the swap, but the connection breaks before its answer. The
+        # outcome is unknown, so a retry must not book again.
         self.service.faults.cut_after = 1
         self.assertEqual(self.refusal(0), ("target_lost", "unknown"))
         wait_until(lambda: any(batch.finishes for batch in self.batches()))
@@ -146,14 +147,14 @@
         response, _ = self.swap(1)
         self.assertEqual(response.status_code, 200)
 
-    def test_without_a_key_the_answer_says_that_this_host_alone_guards_it(self):
+    def test_without_a_key_the_answer_reports_the_host_scope(self):
         response, _ = self.swap(key="")
         self.assertEqual(response["x-agaterail-at-most-once"], "host")
         self.assertEqual(self.batches(), [])
 
     def test_a_key_used_for_another_request_does_not_get_its_answer(self):
-        # A caller's bug gives two swaps one key. The recorded answer to the
-        # first must not pass for the second's, which was not run.
+        # A faulty caller uses one key for two swaps. The recorded answer to the first
+        # must not be returned for the second, which was not run.
         self.swap(0)
         wait_until(lambda: any(batch.finishes for batch in self.batches()))
         response, body = self.daemons[1].post(
@@ -163,7 +164,7 @@
         self.assertEqual(json.loads(body)["error"]["outcome"], "not_run")
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_an_endless_key_is_refused(self):
+    def test_a_key_that_is_too_long_is_refused(self):
         self.assertEqual(self.refusal(key="k" * 256), ("bad_request", "not_run"))
 
 
@@ -182,16 +183,16 @@
         self.assertEqual(response.status_code, 200)
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_an_owner_that_cannot_be_reached_is_gone_around(self):
-        # Neither daemon reaches the other, so each appends for itself to the
-        # same partition. The offset decides, so the key still runs once.
+    def test_an_unreachable_owner_is_bypassed(self):
+        # The daemons cannot reach each other, so each appends to the same partition
+        # itself. The offset decides, so the request still runs only once.
         self.network.cut = {ADDRESSES, ADDRESSES[::-1]}
         self.service.faults.slow_ms = 50
         jobs = [gevent.spawn(self.swap, number) for number in (0, 1)]
         gevent.joinall(jobs)
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_an_owner_whose_answer_is_lost_claims_no_second_time(self):
+    def test_a_lost_answer_of_the_owner_causes_no_second_claim(self):
         for pair in (ADDRESSES, ADDRESSES[::-1]):
             self.network.cut = {pair}
             response, _ = self.swap(0, key=f"k-{pair[0]}")
@@ -200,9 +201,9 @@
 
 
 class CrashTest(ClaimCase):
-    def test_a_claim_whose_claimer_vanished_is_never_run_again(self):
-        # The first daemon claimed the key and died, before or in the run: the
-        # log does not tell which. The repeat is told "unknown" and not run.
+    def test_a_claim_of_a_crashed_daemon_is_never_run_again(self):
+        # The first daemon claimed the key and crashed before or during the run; the log
+        # does not show which. A retry is answered "unknown" and does not run.
         self.put_claim()
         self.crash(0)
         for number in (0, 1):
@@ -219,7 +220,7 @@
         response, _ = self.swap(1)
         self.assertEqual(response.status_code, 200)
 
-    def test_a_crash_while_it_runs_leaves_the_key_unknown(self):
+    def test_a_crash_during_the_run_leaves_the_outcome_unknown(self):
         self.service.faults.slow_ms = 300
         job = gevent.spawn(self.swap, 0)
         wait_until(lambda: self.service.journal)
@@ -228,9 +229,9 @@
         job.kill()
         self.assertEqual(self.service.journal, ["k1"])
 
-    def test_a_crash_after_the_run_and_before_the_record_leaves_it_unknown(self):
-        # The swap was booked and answered; the daemon dies with the outcome
-        # not yet on the log. A repeat must not book it a second time.
+    def test_a_crash_before_the_outcome_is_recorded_leaves_it_unknown(self):
+        # The swap was booked and answered, but the daemon crashes before the outcome is
+        # in the log. A retry must not book it again.
         self.service.faults.slow_ms = 100
         job = gevent.spawn(self.swap, 0)
         wait_until(lambda: self.service.journal)
@@ -244,8 +245,8 @@
         self.assertEqual(self.service.journal, ["k1"])
 
     def test_a_key_whose_record_expired_runs_again(self):
-        # What the log no longer keeps is forgotten by a daemon that starts
-        # now; docs/operators/errors.md states how long a key is remembered.
+        # A daemon that starts after a record expired from the log does not know its
+        # key; docs/operators/errors.md states how long a key is remembered.
         self.swap(0)
         wait_until(lambda: any(batch.finishes for batch in self.batches()))
         for stream in list(self.log.streams):
--- a/tests/test_agaterail/test_server.py
+++ b/tests/test_agaterail/test_server.py
@@ -24,7 +24,7 @@
 FAST = EngineConfig(block_tokens=10, prefill_ms_per_token=0.001, decode_ms=1.0)
 
 
-class WholePathTest(unittest.TestCase):
+class EndToEndTest(unittest.TestCase):
     def setUp(self):
         self.engines = [EngineStandIn(FAST) for _ in range(2)]
         self.service = ServiceStandIn()
@@ -48,24 +48,23 @@
         for stand_in in [*self.engines, self.service]:
             stand_in.stop()
 
-    def test_a_completion_comes_back_whole(self):
+    def test_a_completion_is_returned_complete(self):
         response, body = self.daemon.chat()
         self.assertEqual(response.status_code, 200)
         fields = json.loads(body)
         self.assertEqual(fields["usage"]["completion_tokens"], 4)
 
-    def test_a_stream_comes_back_whole_and_in_order(self):
+    def test_a_stream_is_returned_complete_and_in_order(self):
         response, body = self.daemon.chat(stream=True, max_tokens=20)
         self.assertEqual(response.status_code, 200)
-        numbers = [line for line in body.split(b"\n") if line.startswith(b"id: ")]
-        self.assertEqual(numbers, [b"id: %d" % number for number in range(22)])
+        event_ids = [line for line in body.split(b"\n") if line.startswith(b"id: ")]
+        self.assertEqual(event_ids, [b"id: %d" % number for number in range(22)])
         self.assertTrue(body.endswith(b"data: [DONE]\n\n"))
 
     def test_a_stream_with_a_missing_frame_ends_with_an_error_event(self):
-        # An engine skips a frame and can give it neither again nor anew: both
-        # refuse to resume and the next run skips one as well. The caller must
-        # see the failure: a stream that just went on or just ended would read
-        # as a whole answer.
+        # An engine skips a frame, both engines refuse to resume, and the rerun skips a
+        # frame as well. The caller must see the failure: a stream that simply continued
+        # or ended would look like a complete answer.
         for engine in self.engines:
             engine.faults.skip_frame = 9
             engine.faults.no_resume = True
@@ -74,9 +73,9 @@
         self.assertNotIn(b"[DONE]", body)
 
     def test_an_answer_for_another_request_never_reaches_the_caller(self):
-        # Both engines answer with another request's id. The router drops the
-        # answers with their connections; since an engine may have run the
-        # request, the refusal must not say "not run" when no engine is left.
+        # Both engines answer with the id of another request. The router discards the
+        # answers and their connections. Since an engine may have run the request, the
+        # error must not say "not run" when no engine is left.
         for engine in self.engines:
             engine.faults.crossed = 1
         response, body = self.daemon.chat()
@@ -85,14 +84,14 @@
         response, _ = self.daemon.chat()
         self.assertEqual(response.status_code, 200)
 
-    def test_a_refusing_engine_is_passed_over(self):
+    def test_a_refusing_engine_is_skipped(self):
         self.engines[0].faults.refuse = True
         for _ in range(4):
             response, _ = self.daemon.chat()
             self.assertEqual(response.status_code, 200)
         self.assertEqual(self.engines[0].journal, [])
 
-    def test_a_service_call_passes_through(self):
+    def test_a_service_call_is_forwarded(self):
         response, body = self.daemon.post("/booking/swap?site=4", b"two bottles")
         self.assertEqual(response.status_code, 200)
         self.assertEqual(json.loads(body)["echo"], "two bottles")
