--- a/standins/base.py
+++ b/standins/base.py
@@ -1,4 +1,4 @@
-"""Minimal HTTP frame that all stand-ins share."""
+"""Minimal HTTP server that all stand-ins share."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 BACKLOG = 1024
 SOCKET_KEY = "standins.socket"
-# The Date and Content-Length lines that the server adds by itself.
-DATE_BYTES = 60
+# Estimated size of the Date and Content-Length headers, which the server adds.
+SERVER_HEADER_BYTES = 60
 
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """One HTTP call of a stand-in."""
+    """One HTTP request to a stand-in."""
 
     method: str
     path: str
@@ -29,13 +29,13 @@
     body: bytes
 
     def json(self) -> dict[str, Any]:
-        """Return the body as a JSON object; an empty body as an empty one."""
+        """Return the body parsed as a JSON object; an empty body gives an empty object."""
         return json.loads(self.body) if self.body else {}
 
 
 @attrs.frozen
 class Answer:
-    """Answer of a stand-in; a body that is no bytes is streamed."""
+    """Answer of a stand-in; a body that is not ``bytes`` is streamed."""
 
     status: int = 200
     body: bytes | Iterable[bytes] = b""
@@ -43,7 +43,7 @@
 
 
 def json_answer(fields: object, status: int = 200, **headers: str) -> Answer:
-    """Return a JSON answer."""
+    """Return an answer with JSON-encoded fields and the JSON content type."""
     return Answer(
         status, json.dumps(fields).encode(), {"content-type": "application/json", **headers}
     )
@@ -52,8 +52,8 @@
 Handler = Callable[[Call], Answer]
 
 
-class _Handler(WSGIHandler):
-    """Handler whose connection a fault can cut."""
+class _AbortableHandler(WSGIHandler):
+    """Handler that exposes its socket, so that a fault can cut the connection."""
 
     def get_environ(self) -> dict[str, Any]:
         environ = super().get_environ()
@@ -63,7 +63,7 @@
 
 @attrs.define
 class Traffic:
-    """Calls and their bytes at the level of HTTP, streamed bodies left out."""
+    """Number and HTTP size of calls, without streamed bodies."""
 
     calls: int = 0
     received_bytes: int = 0
@@ -71,10 +71,10 @@
 
 
 class StandIn:
-    """HTTP server with a table of paths and switchable faults.
+    """HTTP server with a table of paths and configurable faults.
 
     ``POST /control`` sets attributes of ``faults`` by name; ``GET /control``
-    shows them.
+    returns their current values. ``/traffic`` returns the traffic counters.
     """
 
     def __init__(self, faults: Any = None) -> None:
@@ -87,11 +87,11 @@
         self.traffic = Traffic()
 
     def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen and return the address as IP:port."""
+        """Start listening and return the address as IP:port."""
         listener = _tcp_listener((host, port), backlog=BACKLOG, reuse_addr=True)
         listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.server = WSGIServer(
-            listener, self._serve, log=None, error_log=None, handler_class=_Handler
+            listener, self._serve, log=None, error_log=None, handler_class=_AbortableHandler
         )
         self.server.start()
         return f"{host}:{self.server.server_port}"
@@ -102,24 +102,25 @@
             self.server.stop(timeout=0)
 
     def route(self, call: Call) -> Answer:
-        """Answer one call; exact paths go before prefixes."""
+        """Answer one call; an exact path takes precedence over the longest prefix."""
         handler = self.paths.get(call.path)
         if handler is None:
-            fitting = [
+            prefixes = [
                 path
                 for path in self.paths
                 if path.endswith("/") and call.path.startswith(path)
             ]
-            if not fitting:
+            if not prefixes:
                 return json_answer({"error": "no such path"}, 404)
-            handler = self.paths[max(fitting, key=len)]
+            handler = self.paths[max(prefixes, key=len)]
         return handler(call)
 
-    def _spend(self, fault: str) -> bool:
-        left = getattr(self.faults, fault)
-        if left <= 0:
+    def _consume_fault(self, fault: str) -> bool:
+        """Decrement a counted fault and return whether it applies to this call."""
+        remaining = getattr(self.faults, fault)
+        if remaining <= 0:
             return False
-        setattr(self.faults, fault, left - 1)
+        setattr(self.faults, fault, remaining - 1)
         return True
 
     def _control(self, call: Call) -> Answer:
@@ -131,7 +132,7 @@
         return json_answer(attrs.asdict(self.faults) if self.faults is not None else {})
 
     def _serve(self, environ: dict[str, Any], start_response: Callable) -> Iterable[bytes]:
-        call = _call_of(environ)
+        call = _call_from_environ(environ)
         try:
             answer = self.route(call)
         except ConnectionAbortedError:
@@ -156,14 +157,19 @@
 
 
 def _answer_bytes(answer: Answer, body: bytes) -> int:
-    return len(b"HTTP/1.1 200 -") + _header_bytes(answer.headers) + DATE_BYTES + len(body)
+    return (
+        len(b"HTTP/1.1 200 -")
+        + _header_bytes(answer.headers)
+        + SERVER_HEADER_BYTES
+        + len(body)
+    )
 
 
 def _header_bytes(headers: Mapping[str, str]) -> int:
     return sum(len(name) + len(value) + len(": \r\n") for name, value in headers.items()) + 4
 
 
-def _call_of(environ: dict[str, Any]) -> Call:
+def _call_from_environ(environ: dict[str, Any]) -> Call:
     headers = {
         name[5:].replace("_", "-").lower(): value
         for name, value in environ.items()
--- a/standins/hosts.py
+++ b/standins/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's lagging list of hosts."""
+"""Stand-in for the platform's host list, which may lag behind."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.define
 class HostsFaults:
-    """Switchable faults; ``lag_ms`` is the age of the list that is shown."""
+    """Faults that can be configured; ``lag_ms`` is the age of the returned list."""
 
     down: bool = False
     lag_ms: int = 0
@@ -22,28 +22,28 @@
 
 @attrs.frozen
 class HostsVersion:
-    """The list after one change."""
+    """Snapshot of the list after one change."""
 
-    at: float
+    published_at: float
     number: int
     hosts: list[dict[str, str]]
 
 
 class HostsStandIn(StandIn):
-    """List of hosts that is changed by ``POST /hosts``."""
+    """Host list that ``POST /hosts`` changes."""
 
     def __init__(self) -> None:
         super().__init__(HostsFaults())
         self.faults: HostsFaults
         self.versions = collections.deque([HostsVersion(0.0, 0, [])], maxlen=MAX_VERSIONS)
-        self.started = time.monotonic_ns()
+        self.started_ns = time.monotonic_ns()
         self.reads = 0
         self.read_bytes = 0
         self.paths["/hosts"] = self._hosts
         self.paths["/stats"] = self._stats
 
     def put(self, address: str, role: str, state: str = "live", domain: str = "a") -> None:
-        """Add or change one host."""
+        """Add, change or (state ``gone``) remove one host."""
         newest = self.versions[-1]
         hosts = [host for host in newest.hosts if host["address"] != address]
         if state != "gone":
@@ -57,10 +57,12 @@
             self.put(**call.json())
             return json_answer({})
         self.reads += 1
-        shown_at = time.monotonic() - self.faults.lag_ms / 1e3
-        shown = [version for version in self.versions if version.at <= shown_at]
-        version = shown[-1] if shown else self.versions[0]
-        etag = f'"{self.started}-{version.number}"'
+        visible_until = time.monotonic() - self.faults.lag_ms / 1e3
+        visible = [
+            version for version in self.versions if version.published_at <= visible_until
+        ]
+        version = visible[-1] if visible else self.versions[0]
+        etag = f'"{self.started_ns}-{version.number}"'
         if call.headers.get("if-none-match") == etag:
             return Answer(304, b"", {"etag": etag})
         answer = json_answer({"hosts": version.hosts}, etag=etag)
--- a/standins/kvstore.py
+++ b/standins/kvstore.py
@@ -1,4 +1,4 @@
-"""Stand-in for the store of kept KV cache; it keeps keys, not tensors."""
+"""Stand-in for the KV cache store; it stores block keys but no tensors."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @attrs.define
 class StoreFaults:
-    """Switchable faults."""
+    """Faults that can be configured at run time."""
 
     down: bool = False
     ms_per_block: float = 5.0
 
 
 class KvStoreStandIn(StandIn):
-    """Bounded store of block keys, least recently used out first."""
+    """Bounded store of block keys that evicts the least recently written one first."""
 
     def __init__(self, capacity_blocks: int = 100_000) -> None:
         super().__init__(StoreFaults())
@@ -44,17 +44,17 @@
     def _get(self, call: Call) -> Answer:
         if self.faults.down:
             return Answer(503)
-        found = _leading(call.json()["keys"], self.keys)
+        found = _held_prefix(call.json()["keys"], self.keys)
         gevent.sleep(len(found) * self.faults.ms_per_block / 1e3)
         return json_answer({"keys": found})
 
     def _has(self, call: Call) -> Answer:
         if self.faults.down:
             return Answer(503)
-        return json_answer({"blocks": len(_leading(call.json()["keys"], self.keys))})
+        return json_answer({"blocks": len(_held_prefix(call.json()["keys"], self.keys))})
 
 
-def _leading(keys: list[str], held: collections.OrderedDict[str, None]) -> list[str]:
+def _held_prefix(keys: list[str], held: collections.OrderedDict[str, None]) -> list[str]:
     found: list[str] = []
     for key in keys:
         if key not in held:
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's targets: model engines and plain services."""
+"""Stand-in for the platform's targets: model engines and plain services."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.define
 class Run:
-    """One request that a target began to work on."""
+    """One request that a target started to execute."""
 
     request_id: str
     method: str
@@ -26,23 +26,24 @@
     headers: dict[str, str]
     body: bytes
     weights: int
-    at: float
-    ended: str = "open"
+    started_at: float
+    outcome: str = "open"
     ended_at: float = 0.0
 
-    def end(self, how: str) -> None:
-        """Note how and when the work on it ended."""
-        self.ended, self.ended_at = how, time.monotonic()
+    def end(self, outcome: str) -> None:
+        """Record the outcome and the time of the end."""
+        self.outcome, self.ended_at = outcome, time.monotonic()
 
 
 class PlatformTargetStandIn:
-    """Target that journals what it runs.
-
-    Faults are attributes: ``refuse`` answers 503 with the mark of a request that
-    did not run, ``hang`` runs and never answers, ``break_after`` resets a stream
-    in the middle of the event of that number, ``error`` answers 500, ``doubled``
-    sends every answer twice, ``pause_before`` is silent for ``pause_s`` before the
-    event of that number; 0 stands for the head of the answer.
+    """Target that records the requests it executes.
+
+    Faults are attributes: ``refuse`` answers 503 with the header ``Not-Run``,
+    ``hang`` executes requests without answering, ``break_after`` closes a stream
+    in the middle of the event with that number, ``error`` answers 500,
+    ``doubled`` sends every answer to a plain request twice, and ``pause_before``
+    sends nothing for ``pause_s`` before the event with that number, or before
+    the head of the answer if 0.
     """
 
     def __init__(self, instance: str, model: str = "", events: int = 8) -> None:
@@ -50,7 +51,7 @@
         self.model = model
         self.events = events
         self.version = 1
-        self.named = 1
+        self.announced_version = 1
         self.work_s = 0.01
         self.event_s = 0.01
         self.load_s = 0.2
@@ -58,7 +59,7 @@
         self.break_after: int | None = None
         self.pause_before: int | None = None
         self.pause_s = 1.3
-        self.loaded_hook: Callable[[], object] = lambda: None
+        self.on_loaded: Callable[[], object] = lambda: None
         self.loading = False
         self.orders = 0
         self.fence = -1
@@ -67,18 +68,18 @@
         self.server: StreamServer | None = None
 
     def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen; returns the address."""
+        """Start listening and return the address."""
         self.server = StreamServer((host, port), self._serve)
         self.server.start()
         return f"{host}:{self.server.server_port}"
 
     def stop(self) -> None:
-        """Stop listening and cut what is open."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.stop(timeout=0)
 
     def registration(self, service: str, address: str, born: int = 1) -> bytes:
-        """Return the entry that the target writes of itself."""
+        """Return the entry that the target writes to register itself."""
         models = [{"name": self.model, "version": self.version, "adapters": []}]
         return json.dumps(
             {
@@ -106,18 +107,18 @@
                 headers: dict[str, str] = {}
                 while (line := file.readline()) != LINE_END:
                     if not line:
-                        return  # cut in the middle of the head: no request
+                        return  # connection closed within the head: not a request
                     name, _, value = line.decode("latin-1").partition(":")
                     name, value = name.strip().lower(), value.strip()
-                    # A field that comes twice is one list, as HTTP has it: a value
-                    # that a caller smuggled in beside the router's must show.
+                    # Repeated fields are joined into a list, as HTTP specifies, so
+                    # that a value injected by a caller next to the gateway's is visible.
                     headers[name] = f"{headers[name]}, {value}" if name in headers else value
                 length = int(headers.get("content-length", "0"))
                 body = file.read(length)
                 if len(body) < length or not self._answer(sock, method, path, headers, body):
                     return
         except OSError:
-            return  # the gateway or a fault has cut the connection
+            return  # the gateway or an injected fault closed the connection
         finally:
             sock.close()
 
@@ -150,28 +151,32 @@
         if self.hang:
             gevent.sleep(30.0)
             return False
-        if self.pause_before == 0 and self._is_left(sock, run):
+        if self.pause_before == 0 and self._client_disconnects(sock, run):
             return False
-        mark = {"Request-Id": run.request_id, "Server-Stamp": f"s-{self.instance}"}
+        answer_headers = {"Request-Id": run.request_id, "Server-Stamp": f"s-{self.instance}"}
         if self.error:
             run.end("error")
-            return self._send(sock, 500, mark, b"failed")
+            return self._send(sock, 500, answer_headers, b"failed")
         if self.model:
-            return self._stream(sock, run, mark)
+            return self._stream(sock, run, answer_headers)
         run.end("whole")
         answer = f"{self.instance} {run.request_id}".encode() * 20
         for _ in range(2 if self.doubled else 1):
-            self._send(sock, 200, mark, answer)
+            self._send(sock, 200, answer_headers, answer)
         return True
 
-    def _stream(self, sock: socket.socket, run: Run, mark: dict[str, str]) -> bool:
+    def _stream(self, sock: socket.socket, run: Run, answer_headers: dict[str, str]) -> bool:
         first = int(run.headers.get("last-event-id") or 0) + 1
-        head = {**mark, "Content-Type": "text/event-stream", "Transfer-Encoding": "chunked"}
+        head = {
+            **answer_headers,
+            "Content-Type": "text/event-stream",
+            "Transfer-Encoding": "chunked",
+        }
         head["Weight-Versions"] = str(self.version)
         sock.sendall(_head(200, head))
         for number in range(first, self.events + 1):
             gevent.sleep(self.event_s)
-            if self.pause_before == number and self._is_left(sock, run):
+            if self.pause_before == number and self._client_disconnects(sock, run):
                 return False
             event = b"id: %d\ndata: %s-%d\n\n" % (number, run.request_id.encode(), number)
             if self.break_after == number:
@@ -183,8 +188,8 @@
         run.end("whole")
         return True
 
-    def _is_left(self, sock: socket.socket, run: Run) -> bool:
-        """Pause; tells whether the other side closed the connection meanwhile."""
+    def _client_disconnects(self, sock: socket.socket, run: Run) -> bool:
+        """Pause and return whether the client closed the connection meanwhile."""
         readable, _, _ = select.select([sock], [], [], self.pause_s)
         if not readable:
             return False
@@ -199,7 +204,7 @@
             "busy": self.loading,
             "seq_no": self.orders,
             "waiting": 0,
-            "running": sum(run.ended == "open" for run in self.runs[-20:]),
+            "running": sum(run.outcome == "open" for run in self.runs[-20:]),
         }
 
     def _order(self, order: dict[str, Any]) -> int:
@@ -211,28 +216,28 @@
         self.fence = order["fence"]
         if order["version"] == self.version:
             return 200
-        if order["version"] > self.named:
+        if order["version"] > self.announced_version:
             return 400
         if self.loading or order.get("expect", self.orders) != self.orders:
             return 409
         self.orders += 1
         self.loading = True
-        gevent.spawn_later(self.load_s, self._loaded, order["version"])
+        gevent.spawn_later(self.load_s, self._finish_load, order["version"])
         return 202
 
-    def _loaded(self, version: int) -> None:
+    def _finish_load(self, version: int) -> None:
         self.loading = False
         self.version = version
-        self.loaded_hook()
+        self.on_loaded()
 
-    def _send_json(self, sock: socket.socket, status: int, found: Any) -> bool:
-        return self._send(sock, status, {}, json.dumps(found).encode())
+    def _send_json(self, sock: socket.socket, status: int, fields: Any) -> bool:
+        return self._send(sock, status, {}, json.dumps(fields).encode())
 
     def _send(
         self, sock: socket.socket, status: int, headers: dict[str, str], body: bytes = b""
     ) -> bool:
-        whole = {**headers, "Content-Length": str(len(body))}
-        sock.sendall(_head(status, whole) + body)
+        all_headers = {**headers, "Content-Length": str(len(body))}
+        sock.sendall(_head(status, all_headers) + body)
         return True
 
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service, some of whose calls may not repeat."""
+"""Stand-in for a plain service with calls that must not be repeated."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @attrs.define
 class ServiceFaults:
-    """Switchable faults.
+    """Faults that can be configured at run time.
 
     Attributes
     ----------
     refuse
         Answer 503 with ``x-not-run: true`` before running.
     cut_before, cut_after
-        Coming calls whose connection is cut before or after running.
+        Number of coming calls whose connection is cut before or after running.
     crossed
-        Coming answers that carry the id of another request.
+        Number of coming answers that carry the ID of another request.
     """
 
     refuse: bool = False
@@ -31,7 +31,7 @@
 
 
 class ServiceStandIn(StandIn):
-    """Runs calls and keeps a journal of every execution."""
+    """Executes calls and keeps a journal of every execution."""
 
     def __init__(self) -> None:
         super().__init__(ServiceFaults())
@@ -45,16 +45,16 @@
         if self.faults.refuse:
             refusal = {"x-not-run": "true", "x-request-id": request_id}
             return json_answer({"error": "not run"}, 503, **refusal)
-        if self._spend("cut_before"):
+        if self._consume_fault("cut_before"):
             raise ConnectionAbortedError
         self.journal.append(call.headers.get("idempotency-key", request_id))
         if self.faults.slow_ms:
             gevent.sleep(self.faults.slow_ms / 1e3)
-        if self._spend("cut_after"):
+        if self._consume_fault("cut_after"):
             raise ConnectionAbortedError
-        if self._spend("crossed"):
+        if self._consume_fault("crossed"):
             request_id = "another-request"
-        status = 500 if self._spend("fail") else 200
+        status = 500 if self._consume_fault("fail") else 200
         answer = {
             "path": call.path,
             "method": call.method,
--- a/tests/test_agaterail/test_gateway/test_forwarder.py
+++ b/tests/test_agaterail/test_gateway/test_forwarder.py
@@ -109,8 +109,8 @@
         answer = self.ask_stream()
         self.assertEqual(answer.events, ALL_EVENTS)
         self.assertEqual(other.runs[0].headers["last-event-id"], "3")
-        self.fleet.wait(lambda: engine.runs[0].ended == "left")
-        self.assertLess(engine.runs[0].ended_at - other.runs[0].at, ABANDON_LIMIT_S)
+        self.fleet.wait(lambda: engine.runs[0].outcome == "left")
+        self.assertLess(engine.runs[0].ended_at - other.runs[0].started_at, ABANDON_LIMIT_S)
 
     def test_the_first_engine_to_send_keeps_the_stream(self):
         """Events of the first engine were lost or mixed with those of the hedge."""
@@ -119,8 +119,8 @@
         other.pause_before, other.pause_s = 0, 1.0
         answer = self.ask_stream()
         self.assertEqual(answer.events, ALL_EVENTS)
-        self.assertEqual(engine.runs[0].ended, "whole")
-        self.assertEqual(other.runs[0].ended, "left")
+        self.assertEqual(engine.runs[0].outcome, "whole")
+        self.assertEqual(other.runs[0].outcome, "left")
 
     def test_an_engine_that_breaks_during_a_hedge_is_left(self):
         """The stream waited for an engine that had closed its connection."""
@@ -141,7 +141,7 @@
         sock.sendall(self.fleet.request("/resumed/x", stream=True))
         self.fleet.wait(lambda: other.runs)
         sock.close()
-        self.fleet.wait(lambda: engine.runs[0].ended == other.runs[0].ended == "left", 1.0)
+        self.fleet.wait(lambda: engine.runs[0].outcome == other.runs[0].outcome == "left", 1.0)
         targets = self.fleet.daemons[0].book.targets.values()
         self.assertEqual([target.in_flight for target in targets], [0] * len(targets))
 
--- a/tests/test_standins/test_platform_engine.py
+++ b/tests/test_standins/test_platform_engine.py
@@ -8,10 +8,10 @@
 
 
 class PlatformTargetStandInTest(unittest.TestCase):
-    def test_a_request_that_was_cut_is_not_run(self):
-        # A proxy resets a connection in the middle of a head or a body. Taken
-        # for whole, a run without an id would be blamed on the gateway; a seed
-        # of the soak showed one.
+    def test_truncated_request_is_not_run(self):
+        # A proxy may reset a connection within the head or the body of a request.
+        # If the stand-in executed such a request, the soak would report a run
+        # without an ID as a fault of the gateway, as seed 136 did.
         target = PlatformTargetStandIn("t")
         host, _, port = target.start().rpartition(":")
         self.addCleanup(target.stop)
@@ -23,9 +23,9 @@
             gevent.sleep(0.05)
         self.assertEqual(target.runs, [])
 
-    def test_a_header_that_comes_twice_shows(self):
-        # A gateway that passed a caller's own header on beside the one it sets
-        # would look right to a target that reads only the last.
+    def test_repeated_header_values_are_joined(self):
+        # A target that reads only the last value would not notice a gateway that
+        # forwards a caller's header in addition to the one it sets itself.
         target = PlatformTargetStandIn("t")
         host, _, port = target.start().rpartition(":")
         self.addCleanup(target.stop)
--- a/tools/oracle.py
+++ b/tools/oracle.py
@@ -1,7 +1,8 @@
-"""Extension of the daemon: the ``cost`` policy on exact caches and queues.
+"""Daemon extension: the ``cost`` policy with exact cache and queue states.
 
-It asks every engine stand-in at each choice, which no real engine could
-answer in time, and so bounds from above what better knowledge can bring.
+It queries every engine stand-in for each decision, which real engines could
+not answer in time. Its results are an upper bound on what better information
+about caches and queues can gain.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
     from agaterail.application import Application
     from agaterail.targets import TargetState
 
-ASK_TIMEOUT_S = 1.0
+QUERY_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
-class Exact:
-    """Exact state of an engine for one prompt."""
+class ExactState:
+    """Exact cached depth and queueing time of an engine for one prompt."""
 
     address: str
     blocks: int
@@ -37,7 +38,7 @@
 
 
 class OraclePolicy(Policy):
-    """Takes the place of the ``cost`` policy."""
+    """Policy that replaces the ``cost`` policy under the same name."""
 
     name = "cost"
 
@@ -45,33 +46,34 @@
         self.connections: dict[str, HttpConnections] = {}
 
     def choose(self, placement: Placement, targets: Sequence[TargetState]) -> Decision | None:
-        """Return the target with the least exact cost."""
+        """Return the target with the lowest exact cost."""
         if placement.prefix is None:
             return None
         keys = [key.hex() for key in placement.prefix.keys]
-        # In hash order, so that equal costs do not all go to one engine.
+        # Rendezvous hash order, so that ties between equal costs do not always go
+        # to the same engine.
         addresses = [state.address for state in targets]
         order = rendezvous.ranked(placement.prefix.placement_key, addresses, len(addresses))
-        asked = [gevent.spawn(self._ask, address, keys) for address in order]
-        gevent.joinall(asked)
-        known = [greenlet.value for greenlet in asked if greenlet.value is not None]
+        queries = [gevent.spawn(self._query, address, keys) for address in order]
+        gevent.joinall(queries)
+        known = [greenlet.value for greenlet in queries if greenlet.value is not None]
         decisions = [_decision(placement, exact) for exact in known]
         return min(decisions, key=lambda item: item[0], default=(0.0, None))[1]
 
-    def _ask(self, address: str, keys: list[str]) -> Exact | None:
+    def _query(self, address: str, keys: list[str]) -> ExactState | None:
         connections = self.connections.get(address)
         if connections is None:
             connections = HttpConnections(Address.parse(address))
             self.connections[address] = connections
         body = json.dumps({"keys": keys}).encode()
-        answer = connections.call("POST", "/exact", body, timeout_s=ASK_TIMEOUT_S)
+        answer = connections.call("POST", "/exact", body, timeout_s=QUERY_TIMEOUT_S)
         if not isinstance(answer, Success) or answer.unwrap()[0] != 200:
             return None
         fields = json.loads(answer.unwrap()[1])
-        return Exact(address, fields["blocks"], fields["queue_ms"])
+        return ExactState(address, fields["blocks"], fields["queue_ms"])
 
 
-def _decision(placement: Placement, exact: Exact) -> tuple[float, Decision]:
+def _decision(placement: Placement, exact: ExactState) -> tuple[float, Decision]:
     assert placement.prefix is not None
     pool = placement.pool
     missing = placement.prefix.prompt_tokens - exact.blocks * pool.block_tokens
--- a/tools/soak/proxy.py
+++ b/tools/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy between gateways and what they talk to."""
+"""Loopback TCP proxy between gateways and the store or a target."""
 
 from __future__ import annotations
 
@@ -12,64 +12,65 @@
 from tools.soak.connecting import connect
 
 CHUNK_BYTES = 65536
-RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
+# SO_LINGER enabled with a timeout of 0, so that closing a socket sends a reset.
+LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
 
 class Mode(enum.Enum):
-    """What the proxy does with connections."""
+    """How the proxy treats connections."""
 
     PASS = "pass"
     DELAY = "delay"
-    SILENT = "silent"  # connections stay open, nothing passes
-    ANSWERS_LOST = "answers_lost"  # what goes in passes, what comes back does not
-    REFUSE = "refuse"  # connections are reset, open ones too
+    SILENT = "silent"  # connections stay open, but no data is forwarded
+    ANSWERS_LOST = "answers_lost"  # requests are forwarded, answers are not
+    REFUSE = "refuse"  # new and open connections are reset
 
 
 class Proxy:
-    """Listens for one target and passes bytes on, or does not."""
+    """Listens on behalf of one target and forwards data according to the mode."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
         self.target = (host, int(port))
         self.mode = Mode.PASS
         self.delay_s = 0.15
-        self.open: set[Any] = set()
+        self.open_sockets: set[Any] = set()
         self.server = StreamServer(("127.0.0.1", 0), self._serve)
         self.server.start()
         self.address = f"127.0.0.1:{self.server.server_port}"
 
     def set_mode(self, mode: Mode) -> None:
-        """Change what happens; a refusal also resets what is open."""
+        """Change the mode; ``Mode.REFUSE`` also resets open connections."""
         self.mode = mode
         if mode is Mode.REFUSE:
             self.reset_all()
 
     def reset_all(self) -> None:
         """Reset all open connections."""
-        for sock in list(self.open):
+        for sock in list(self.open_sockets):
             _reset(sock)
 
-    def _serve(self, inner: Any, _address: Any) -> None:
+    def _serve(self, client: Any, _address: Any) -> None:
         if self.mode is Mode.REFUSE:
-            _reset(inner)
+            _reset(client)
             return
         try:
-            outer = connect(self.target)
+            upstream = connect(self.target)
         except OSError:
-            _reset(inner)
+            _reset(client)
             return
-        self.open |= {inner, outer}
-        ways = [
-            gevent.spawn(self._pass, inner, outer, False),
-            gevent.spawn(self._pass, outer, inner, True),
+        self.open_sockets |= {client, upstream}
+        directions = [
+            gevent.spawn(self._forward, client, upstream, False),
+            gevent.spawn(self._forward, upstream, client, True),
         ]
-        gevent.joinall(ways, count=1)
-        gevent.killall(ways)
-        self.open -= {inner, outer}
-        _reset(outer) if self.mode is Mode.REFUSE else outer.close()
-        inner.close()
+        gevent.joinall(directions, count=1)
+        gevent.killall(directions)
+        self.open_sockets -= {client, upstream}
+        _reset(upstream) if self.mode is Mode.REFUSE else upstream.close()
+        client.close()
 
-    def _pass(self, source: Any, sink: Any, is_answer: bool) -> None:
+    def _forward(self, source: Any, sink: Any, is_answer: bool) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
                 if self.mode is Mode.DELAY:
@@ -80,12 +81,12 @@
                     gevent.sleep(0.05)
                 sink.sendall(data)
         except OSError:
-            return  # either side has ended; the other is closed by the caller of this
+            return  # one side closed its connection; ``_serve`` closes the other
 
 
 def _reset(sock: Any) -> None:
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     except OSError:
         return  # already closed
     sock.close()
