--- a/tests/test_tools/test_bench.py
+++ b/tests/test_tools/test_bench.py
@@ -32,18 +32,18 @@
         moved = (hottest + CARONI.shift) % CARONI.prefixes
         self.assertEqual(max(set(late), key=late.count), moved)
 
-    def test_market_day_doubles_the_rate(self):
+    def test_isikova_rate_doubles_at_half_time(self):
         arrivals = Trace(ISIKOVA, 7).arrivals(120.0)
         early = sum(item.at_s < 60 for item in arrivals)
         self.assertAlmostEqual((len(arrivals) - early) / early, 2.0, delta=0.2)
 
 
 class FiguresTest(unittest.TestCase):
-    def test_first_computations_are_not_waste(self):
+    def test_first_computation_is_not_waste(self):
         before = [counts(), counts()]
         self.assertEqual(wasted_tokens(before, [counts(a=1), counts(b=1)], 64), 0)
 
-    def test_waste_is_what_any_engine_had_computed_before(self):
+    def test_recomputation_on_any_engine_is_waste(self):
         # Engine 1 computes "a" in the warm-up. In the run engine 1 computes it
         # again after an eviction, engine 2 beside it, and engine 2 "b" twice.
         before = [counts(a=1), counts()]
--- a/tests/test_tools/test_build_binary.py
+++ b/tests/test_tools/test_build_binary.py
@@ -21,14 +21,14 @@
 )
 from tools.build_binary import build_cached, runtime_packages
 
-FAST = EngineConfig(block_tokens=10, prefill_ms_per_token=0.001, decode_ms=1.0)
+FAST_ENGINE = EngineConfig(block_tokens=10, prefill_ms_per_token=0.001, decode_ms=1.0)
 BODY = b'{"model": "%s", "messages": [{"role": "user", "content": "hello"}]}'
-START_SECONDS = 20.0
+START_TIMEOUT_S = 20.0
 
 
 class BinaryTest(unittest.TestCase):
     def setUp(self):
-        self.engine, self.log = EngineStandIn(FAST), LogStandIn()
+        self.engine, self.log = EngineStandIn(FAST_ENGINE), LogStandIn()
         change = edit("e0", put(engine_pool([self.engine.start()])), put(chat_route()))
         self.log_address = self.log.start()
         append_edit(self.log_address, change)
@@ -39,7 +39,7 @@
         self.engine.stop()
         self.log.stop()
 
-    def test_it_serves_as_one_process_without_environment_or_files(self):
+    def test_serves_as_one_process_without_environment_or_files(self):
         # The hosts have no disks and a process must not start another one. A
         # packer that unpacks itself or runs its program as a child shows here
         # as files, as a second process, or as a failure to start.
@@ -48,25 +48,25 @@
         command = [self.binary, "serve", "--log-service", self.log_address, *flags]
         daemon = subprocess.Popen(command, cwd=self.folder, env={}, stderr=subprocess.DEVNULL)
         self.addCleanup(daemon.kill)
-        wait_until(lambda: status_of(listen, "GET", "/readyz") == 200, START_SECONDS)
+        wait_until(lambda: status_of(listen, "GET", "/readyz") == 200, START_TIMEOUT_S)
         key = {"authorization": f"Bearer {API_KEY}"}
         body = BODY % MODEL.encode()
         self.assertEqual(status_of(listen, "POST", "/v1/chat/completions", body, key), 200)
         self.assertEqual(children_of(daemon.pid), [])
         self.assertEqual(list(pathlib.Path(self.folder).iterdir()), [])
-        asked = subprocess.run(
+        status = subprocess.run(
             [self.binary, "status", "--peer", peer],
             env={},
             capture_output=True,
             text=True,
-            timeout=START_SECONDS,
+            timeout=START_TIMEOUT_S,
             check=False,
         )
-        self.assertIn("ready: yes\n", asked.stdout)
+        self.assertIn("ready: yes\n", status.stdout)
         daemon.terminate()
-        self.assertEqual(daemon.wait(START_SECONDS), 0)
+        self.assertEqual(daemon.wait(START_TIMEOUT_S), 0)
 
-    def test_only_run_time_packages_are_in_it(self):
+    def test_contains_only_runtime_packages(self):
         packages = runtime_packages()
         self.assertIn("gevent", packages)
         for name in ("openai", "mypy", "shiv", "cryptography", "hypothesis"):
--- a/tools/bench/__main__.py
+++ b/tools/bench/__main__.py
@@ -23,15 +23,15 @@
 from tools.bench.figures import Figures
 from tools.bench.workloads import PROFILES
 
-CELL_FLAG = "--one-cell"
+ONE_CELL_FLAG = "--one-cell"
 DEFAULT_SECONDS = 16.0
 DEFAULT_SEED = 7
 
 
 def main() -> None:
     """Measure every cell, at most one fleet for each workload at a time."""
-    if sys.argv[1:2] == [CELL_FLAG]:
-        _measure_here(sys.argv[2])
+    if sys.argv[1:2] == [ONE_CELL_FLAG]:
+        _measure_one_cell(sys.argv[2])
         return
     arguments = _parse()
     started = time.monotonic()
@@ -61,61 +61,61 @@
     return parser.parse_args()
 
 
-def _measure_all(arguments: argparse.Namespace) -> list[report.Measured]:
-    rows = GreenletPool(len(arguments.workloads))
-    measure_row = functools.partial(_measure_row, arguments)
-    found = rows.map(measure_row, arguments.workloads)
-    return [item for row in found for item in row]
+def _measure_all(arguments: argparse.Namespace) -> list[report.CellResult]:
+    workers = GreenletPool(len(arguments.workloads))
+    measure_workload = functools.partial(_measure_workload, arguments)
+    results = workers.map(measure_workload, arguments.workloads)
+    return [item for measured in results for item in measured]
 
 
-def _measure_row(arguments: argparse.Namespace, workload: str) -> list[report.Measured]:
+def _measure_workload(arguments: argparse.Namespace, workload: str) -> list[report.CellResult]:
     slot = arguments.slot + list(PROFILES).index(workload)
-    row = []
+    selected = []
     for seed in arguments.seeds:
-        make = functools.partial(
+        make_cell = functools.partial(
             Cell, workload=workload, seed=seed, seconds=arguments.seconds, slot=slot
         )
-        row += cells.selected(make, arguments.cells, arguments.only)
+        selected += cells.select(make_cell, arguments.cells, arguments.only)
     measured = []
-    for cell in row:
-        measured.append((cell, _measure_apart(cell)))
+    for cell in selected:
+        measured.append((cell, _measure_in_subprocess(cell)))
         if arguments.save:
             _save(arguments.save, *measured[-1])
     return measured
 
 
-def _measure_apart(cell: Cell) -> Figures:
+def _measure_in_subprocess(cell: Cell) -> Figures:
     # In a process of its own, so that the load generators do not share one.
     fields = json.dumps(attrs.asdict(cell))
-    done = subprocess.run(
-        [sys.executable, "-m", "tools.bench", CELL_FLAG, fields],
+    completed = subprocess.run(
+        [sys.executable, "-m", "tools.bench", ONE_CELL_FLAG, fields],
         check=True,
         stdout=subprocess.PIPE,
         text=True,
     )
-    return Figures(**json.loads(done.stdout.splitlines()[-1]))
+    return Figures(**json.loads(completed.stdout.splitlines()[-1]))
 
 
-def _measure_here(fields: str) -> None:
-    found = measure(Cell(**json.loads(fields)))
-    print(json.dumps(attrs.asdict(found)))
+def _measure_one_cell(fields: str) -> None:
+    result = measure(Cell(**json.loads(fields)))
+    print(json.dumps(attrs.asdict(result)))
 
 
-def _save(file: str, cell: Cell, found: Figures) -> None:
-    line = {"cell": attrs.asdict(cell), "figures": attrs.asdict(found)}
-    with pathlib.Path(file).open("a", encoding="utf-8") as opened:
-        opened.write(json.dumps(line) + "\n")
+def _save(file: str, cell: Cell, result: Figures) -> None:
+    line = {"cell": attrs.asdict(cell), "figures": attrs.asdict(result)}
+    with pathlib.Path(file).open("a", encoding="utf-8") as stream:
+        stream.write(json.dumps(line) + "\n")
 
 
-def _load(file: str) -> list[report.Measured]:
+def _load(file: str) -> list[report.CellResult]:
     lines = map(json.loads, pathlib.Path(file).read_text(encoding="utf-8").splitlines())
     return [(Cell(**line["cell"]), Figures(**line["figures"])) for line in lines]
 
 
-def _print(workload: str, measured: Sequence[report.Measured]) -> None:
+def _print(workload: str, measured: Sequence[report.CellResult]) -> None:
     seeds = sorted({cell.seed for cell, _ in measured})
     seconds = sorted({cell.seconds for cell, _ in measured})
-    pooled = report.by_cell(measured)
+    pooled = report.merge_seeds(measured)
     print(f"\n## {workload}, seeds {seeds}, seconds {seconds}\n")
     print(report.outcome_table(pooled))
     print("\nNot whole, by kind:\n")
--- a/tools/bench/cell.py
+++ b/tools/bench/cell.py
@@ -46,12 +46,12 @@
 EVENT_DELAY_MS = 100
 LOAD_LAG_MS = 200
 WARM_UP_REQUESTS = 300
-WARM_UP_RATE = 100.0
-WARM_UP_FACTOR = 0.02
+WARM_UP_RATE_PER_S = 100.0
+WARM_UP_PREFILL_FACTOR = 0.02
 SETTLE_S = 1.0
-LATE_SHARE = 0.75
+LATE_PART_START = 0.75
 STORE_SLOW_FACTOR = 50.0
-END_MARGIN_S = 5.0
+ANSWER_MARGIN_S = 5.0
 BALANCER_LAG_S = 0.5
 DRAIN_LAG_S = 1.0
 FIRST_PORT = 7400
@@ -60,7 +60,7 @@
 TUNE_EXTENSION = "tools.bench.tune"
 ORACLE_EXTENSION = "tools.oracle"
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
-KIB_PER_MB = 1024
+KIB_PER_MIB = 1024
 
 
 @attrs.frozen(kw_only=True)
@@ -106,8 +106,8 @@
         self.fleet = fleet
         self.profile = PROFILES[cell.workload]
         self.clients: dict[tuple[str, int], StreamClient] = {}
-        self.resting: set[str] = set()
-        self.lateness: list[float] = []
+        self.out_of_rotation: set[str] = set()
+        self.lateness_ms: list[float] = []
 
     def run(self) -> Figures:
         """Measure the cell."""
@@ -116,21 +116,21 @@
         self._warm_up(trace)
         arrivals = trace.arrivals(self.cell.seconds)
         engines, daemons = self._engine_counts(), self._daemon_counts()
-        timer = gevent.spawn_later(self.cell.seconds / 2, FAULTS[self.cell.fault], self)
+        fault_timer = gevent.spawn_later(self.cell.seconds / 2, FAULTS[self.cell.fault], self)
         started = time.monotonic()
         seen = self._send(arrivals)
         seconds = time.monotonic() - started
-        timer.join()
-        found = self._figures(
+        fault_timer.join()
+        result = self._figures(
             seen, seconds, engines, self._engine_counts(), daemons, self._daemon_counts()
         )
-        late_from = self.cell.seconds * LATE_SHARE
+        late_start_s = self.cell.seconds * LATE_PART_START
         late = [
             item
             for arrival, item in zip(arrivals, seen, strict=True)
-            if arrival.at_s >= late_from
+            if arrival.at_s >= late_start_s
         ]
-        return attrs.evolve(found, late_hit_rate=_hit_rate_of(late))
+        return attrs.evolve(result, late_hit_rate=_client_hit_rate(late))
 
     def _start(self) -> None:
         self.fleet.start_platform()
@@ -177,37 +177,37 @@
 
     def _warm_up(self, trace: Trace) -> None:
         for engine in self.fleet.engines:
-            self.fleet.control(engine, prefill_factor=WARM_UP_FACTOR)
-        self._send(trace.warm_up(WARM_UP_REQUESTS, WARM_UP_RATE))
-        self.lateness.clear()
+            self.fleet.control(engine, prefill_factor=WARM_UP_PREFILL_FACTOR)
+        self._send(trace.warm_up(WARM_UP_REQUESTS, WARM_UP_RATE_PER_S))
+        self.lateness_ms.clear()
         for engine in self.fleet.engines:
             self.fleet.control(engine, prefill_factor=1.0)
-        if self.cell.fault in STANDING_FAULTS:
+        if self.cell.fault in PERSISTENT_FAULTS:
             for engine in self.fleet.engines:
-                self.fleet.control(engine, **STANDING_FAULTS[self.cell.fault])
+                self.fleet.control(engine, **PERSISTENT_FAULTS[self.cell.fault])
         gevent.sleep(SETTLE_S)
 
     def _send(self, arrivals: Sequence[Arrival]) -> list[Seen]:
         started = time.monotonic()
         group = Group()
-        asking = []
+        requests = []
         for arrival in arrivals:
             gevent.sleep(max(0.0, started + arrival.at_s - time.monotonic()))
-            self.lateness.append((time.monotonic() - started - arrival.at_s) * 1e3)
-            asking.append(group.spawn(self._ask, arrival))
-        group.join(timeout=self.profile.deadline_ms / 1e3 + END_MARGIN_S)
+            self.lateness_ms.append((time.monotonic() - started - arrival.at_s) * 1e3)
+            requests.append(group.spawn(self._send_request, arrival))
+        group.join(timeout=self.profile.deadline_ms / 1e3 + ANSWER_MARGIN_S)
         return [
             greenlet.value if greenlet.successful() else Seen(error="no answer in time")
-            for greenlet in asking
+            for greenlet in requests
         ]
 
-    def _ask(self, arrival: Arrival) -> Seen:
+    def _send_request(self, arrival: Arrival) -> Seen:
         daemons = [
             daemon.address
             for daemon in self.fleet.daemons
-            if daemon.address not in self.resting
+            if daemon.address not in self.out_of_rotation
         ]
-        address = daemons[arrival.entry % len(daemons)]
+        address = daemons[arrival.daemon_selector % len(daemons)]
         workspace = arrival.prompt.workspace
         client = self.clients.get((address, workspace))
         if client is None:
@@ -240,7 +240,7 @@
         before: Sequence[EngineCounts],
         after: Sequence[EngineCounts],
         daemons_before: Sequence[DaemonCounts],
-        daemons: Sequence[DaemonCounts],
+        daemons_after: Sequence[DaemonCounts],
     ) -> Figures:
         computed = [
             new.computed_tokens - old.computed_tokens
@@ -249,7 +249,7 @@
         busy = [tokens * PREFILL_MS_PER_TOKEN / 1e3 / self.cell.seconds for tokens in computed]
         deadline = float(self.profile.deadline_ms)
         first = sorted(item.first_token_ms if item.whole else deadline for item in seen)
-        late = sorted(self.lateness)
+        late = sorted(self.lateness_ms)
         return Figures(
             requests=len(seen),
             hit_rate=figures.hit_rate(before, after),
@@ -261,26 +261,26 @@
             ),
             first_token_ms=tuple(round(value, 1) for value in first),
             not_whole=sum(not item.whole for item in seen),
-            errors=collections.Counter(_error_of(item) for item in seen if not item.whole),
+            errors=collections.Counter(_error_kind(item) for item in seen if not item.whole),
             reasons=collections.Counter(item.reason for item in seen if item.whole),
             late_hit_rate=0.0,
             busiest=max(busy),
             mean_busy=sum(busy) / len(busy),
             late_ms=(figures.percentile(late, 0.99), max(late)),
-            **_control_of(daemons_before, daemons, seconds),
+            **_control_cost(daemons_before, daemons_after, seconds),
         )
 
 
 def measure(cell: Cell) -> Figures:
     """Measure one cell on a fleet of its own."""
-    os.environ[tune.VARIABLE] = json.dumps(dict(cell.tune))
+    os.environ[tune.TUNING_VARIABLE] = json.dumps(dict(cell.tune))
     with Fleet(
         log_level="error", host=f"127.77.0.{cell.slot + 1}", first_port=FIRST_PORT
     ) as fleet:
         return Runner(cell, fleet).run()
 
 
-def _control_of(
+def _control_cost(
     before: Sequence[DaemonCounts], after: Sequence[DaemonCounts], seconds: float
 ) -> dict[str, float]:
     # Counts of a daemon that was restarted begin anew and are left out.
@@ -305,18 +305,18 @@
     return DaemonCounts(
         pid=pid,
         cpu_s=(int(fields[11]) + int(fields[12])) / CLOCK_TICKS,
-        rss_mb=int(resident.split()[1]) / KIB_PER_MB,
+        rss_mb=int(resident.split()[1]) / KIB_PER_MIB,
         sent_bytes=traffic["sent_bytes"],
         sent_messages=traffic["sent_messages"],
     )
 
 
-def _hit_rate_of(seen: Sequence[Seen]) -> float:
+def _client_hit_rate(seen: Sequence[Seen]) -> float:
     prompt = sum(item.prompt_tokens for item in seen if item.whole)
     return sum(item.cached_tokens for item in seen if item.whole) / max(1, prompt)
 
 
-def _error_of(seen: Seen) -> str:
+def _error_kind(seen: Seen) -> str:
     try:
         return str(json.loads(seen.error)["error"]["code"])
     except (ValueError, KeyError, TypeError):
@@ -364,7 +364,7 @@
         # The platform's balancer sends new connections until it has seen the
         # readiness check fail.
         gevent.sleep(BALANCER_LAG_S)
-        runner.resting.update(daemon.address for daemon in old)
+        runner.out_of_rotation.update(daemon.address for daemon in old)
     for daemon in old:
         while daemon.process.poll() is None:
             gevent.sleep(0.05)
@@ -374,7 +374,7 @@
         )
     for daemon in old:
         wait_for(daemon.address, "/readyz")
-    runner.resting.difference_update(daemon.address for daemon in old)
+    runner.out_of_rotation.difference_update(daemon.address for daemon in old)
 
 
 FAULTS: Mapping[str, Callable[[Runner], None]] = {
@@ -392,7 +392,7 @@
     "load_lag_5": _no_fault,
     "load_counts_cached": _no_fault,
 }
-STANDING_FAULTS: Mapping[str, Mapping[str, float]] = {
+PERSISTENT_FAULTS: Mapping[str, Mapping[str, float]] = {
     "events_lost_1": {"event_loss": 0.01},
     "events_lost_10": {"event_loss": 0.10},
     "events_lost_30": {"event_loss": 0.30},
--- a/tools/bench/cells.py
+++ b/tools/bench/cells.py
@@ -24,50 +24,50 @@
     "no widening": {"widen": False},
 }
 
-Maker = Callable[..., Cell]
+CellFactory = Callable[..., Cell]
 
 
-def policies(make: Maker) -> Iterator[Cell]:
+def policies(make_cell: CellFactory) -> Iterator[Cell]:
     """Yield each policy without a fault."""
     for policy in POLICIES:
-        yield make(policy=policy)
+        yield make_cell(policy=policy)
 
 
-def faults(make: Maker) -> Iterator[Cell]:
+def faults(make_cell: CellFactory) -> Iterator[Cell]:
     """Yield ``cost`` under every fault, and the baselines where it matters."""
     for fault in STORE_FAULTS:
         label = f"with KV transfers, {fault}"
-        yield make(policy="cost", fault=fault, pool=WITH_TRANSFERS, label=label)
+        yield make_cell(policy="cost", fault=fault, pool=WITH_TRANSFERS, label=label)
     for fault in FAULTS:
         if fault in STORE_FAULTS:
             continue
-        yield make(policy="cost", fault=fault)
+        yield make_cell(policy="cost", fault=fault)
         if fault in BASELINE_FAULTS:
             for policy in BASELINES:
-                yield make(policy=policy, fault=fault)
+                yield make_cell(policy=policy, fault=fault)
 
 
-def sweep(make: Maker) -> Iterator[Cell]:
+def sweep(make_cell: CellFactory) -> Iterator[Cell]:
     """Yield ``cost`` with other weights, candidate counts and query deadlines."""
     for weight in MISS_WEIGHTS:
         label = f"miss weight {weight:g}"
-        yield make(policy="cost", route={"miss_weight": weight}, label=label)
+        yield make_cell(policy="cost", route={"miss_weight": weight}, label=label)
     for count in CANDIDATES:
-        yield make(policy="cost", tune={"candidates": count}, label=f"{count} candidates")
+        yield make_cell(policy="cost", tune={"candidates": count}, label=f"{count} candidates")
     for timeout in QUERY_TIMEOUTS_MS:
         label = f"query deadline {timeout:g} ms"
-        yield make(policy="cost", tune={"query_timeout_ms": timeout}, label=label)
+        yield make_cell(policy="cost", tune={"query_timeout_ms": timeout}, label=label)
 
 
-def ablations(make: Maker) -> Iterator[Cell]:
+def ablations(make_cell: CellFactory) -> Iterator[Cell]:
     """Yield ``cost`` whole, with KV transfers, and without one mechanism at a time."""
-    yield make(policy="cost")
-    yield make(policy="cost", pool=WITH_TRANSFERS, label="with KV transfers")
+    yield make_cell(policy="cost")
+    yield make_cell(policy="cost", pool=WITH_TRANSFERS, label="with KV transfers")
     for label, tuning in ABLATIONS.items():
-        yield make(policy="cost", tune=tuning, label=label)
+        yield make_cell(policy="cost", tune=tuning, label=label)
 
 
-GROUPS: Mapping[str, Callable[[Maker], Iterator[Cell]]] = {
+GROUPS: Mapping[str, Callable[[CellFactory], Iterator[Cell]]] = {
     "policies": policies,
     "faults": faults,
     "sweep": sweep,
@@ -75,7 +75,7 @@
 }
 
 
-def selected(make: Maker, groups: Sequence[str], names: Sequence[str]) -> list[Cell]:
+def select(make_cell: CellFactory, groups: Sequence[str], names: Sequence[str]) -> list[Cell]:
     """Return the cells of some groups, or of these only the named ones."""
-    found = [cell for group in groups for cell in GROUPS[group](make)]
-    return [cell for cell in found if not names or cell.name in names]
+    selected = [cell for group in groups for cell in GROUPS[group](make_cell)]
+    return [cell for cell in selected if not names or cell.name in names]
--- a/tools/bench/figures.py
+++ b/tools/bench/figures.py
@@ -97,40 +97,40 @@
         return percentile(self.first_token_ms, 0.99)
 
 
-def pooled(found: Sequence[Figures]) -> Figures:
+def pooled(results: Sequence[Figures]) -> Figures:
     """Return one set of figures for several seeds of a cell.
 
     Times to the first token are pooled, counts added up, rates averaged.
     """
-    count = len(found)
+    count = len(results)
     return Figures(
-        requests=sum(item.requests for item in found),
-        hit_rate=sum(item.hit_rate for item in found) / count,
-        computed_tokens=sum(item.computed_tokens for item in found),
-        wasted_tokens=sum(item.wasted_tokens for item in found),
-        imported_blocks=sum(item.imported_blocks for item in found),
-        first_token_ms=tuple(sorted(ms for item in found for ms in item.first_token_ms)),
-        not_whole=sum(item.not_whole for item in found),
-        errors=_added(item.errors for item in found),
-        reasons=_added(item.reasons for item in found),
-        late_hit_rate=sum(item.late_hit_rate for item in found) / count,
-        busiest=max(item.busiest for item in found),
-        mean_busy=sum(item.mean_busy for item in found) / count,
+        requests=sum(item.requests for item in results),
+        hit_rate=sum(item.hit_rate for item in results) / count,
+        computed_tokens=sum(item.computed_tokens for item in results),
+        wasted_tokens=sum(item.wasted_tokens for item in results),
+        imported_blocks=sum(item.imported_blocks for item in results),
+        first_token_ms=tuple(sorted(ms for item in results for ms in item.first_token_ms)),
+        not_whole=sum(item.not_whole for item in results),
+        errors=_sum_counts(item.errors for item in results),
+        reasons=_sum_counts(item.reasons for item in results),
+        late_hit_rate=sum(item.late_hit_rate for item in results) / count,
+        busiest=max(item.busiest for item in results),
+        mean_busy=sum(item.mean_busy for item in results) / count,
         late_ms=(
-            max(item.late_ms[0] for item in found),
-            max(item.late_ms[1] for item in found),
+            max(item.late_ms[0] for item in results),
+            max(item.late_ms[1] for item in results),
         ),
-        sent_bytes_per_s=sum(item.sent_bytes_per_s for item in found) / count,
-        cpu_s=sum(item.cpu_s for item in found) / count,
-        rss_mb=max(item.rss_mb for item in found),
+        sent_bytes_per_s=sum(item.sent_bytes_per_s for item in results) / count,
+        cpu_s=sum(item.cpu_s for item in results) / count,
+        rss_mb=max(item.rss_mb for item in results),
     )
 
 
-def percentile(ordered: Sequence[float], share: float) -> float:
+def percentile(ordered: Sequence[float], fraction: float) -> float:
     """Return the nearest-rank percentile of sorted values; 0 without any."""
     if not ordered:
         return 0.0
-    return ordered[max(0, math.ceil(len(ordered) * share) - 1)]
+    return ordered[max(0, math.ceil(len(ordered) * fraction) - 1)]
 
 
 def hit_rate(before: Sequence[EngineCounts], after: Sequence[EngineCounts]) -> float:
@@ -148,8 +148,8 @@
     before: Sequence[EngineCounts], after: Sequence[EngineCounts], block_tokens: int
 ) -> int:
     """Return the tokens of blocks computed again between two snapshots."""
-    computed = _computations(after) - _computations(before)
-    new = _known(after) - _known(before)
+    computed = _computation_count(after) - _computation_count(before)
+    new = _block_keys(after) - _block_keys(before)
     return (computed - len(new)) * block_tokens
 
 
@@ -158,15 +158,15 @@
     return (value - worst) / (best - worst) if best != worst else 1.0
 
 
-def _computations(counts: Sequence[EngineCounts]) -> int:
+def _computation_count(counts: Sequence[EngineCounts]) -> int:
     return sum(sum(item.blocks.values()) for item in counts)
 
 
-def _known(counts: Sequence[EngineCounts]) -> set[str]:
+def _block_keys(counts: Sequence[EngineCounts]) -> set[str]:
     return {key for item in counts for key in item.blocks}
 
 
-def _added(counts: Iterable[Mapping[str, int]]) -> Mapping[str, int]:
+def _sum_counts(counts: Iterable[Mapping[str, int]]) -> Mapping[str, int]:
     total: collections.Counter[str] = collections.Counter()
     for item in counts:
         total.update(item)
--- a/tools/bench/tune.py
+++ b/tools/bench/tune.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from agaterail.application import Application
 
-VARIABLE = "BENCH_TUNE"
+TUNING_VARIABLE = "BENCH_TUNE"
 
 
 @attrs.frozen(kw_only=True)
@@ -49,27 +49,27 @@
 
 def setup(app: Application) -> None:
     """Apply the changes of the environment."""
-    tuning = Tuning(**json.loads(os.environ.get(VARIABLE, "{}")))
+    tuning = Tuning(**json.loads(os.environ.get(TUNING_VARIABLE, "{}")))
     policy = app.policies["cost"]
     assert isinstance(policy, CostPolicy)
-    finder: Any = app.candidates
+    candidate_finder: Any = app.candidates
     if tuning.candidates is not None:
         policy.count = tuning.candidates
     if tuning.query_timeout_ms is not None:
-        finder.timeout_s = tuning.query_timeout_ms / 1e3
+        candidate_finder.timeout_s = tuning.query_timeout_ms / 1e3
     if tuning.query_timeout_ms == 0:
-        finder.query = _no_answers
+        candidate_finder.query = _no_answers
     if not tuning.widen:
         policy.hot_keys.replica_rate_per_s = float("inf")
     if not tuning.predict:
-        EngineIndex.predict = _nothing  # type: ignore[method-assign,assignment]
+        EngineIndex.predict = _do_nothing  # type: ignore[method-assign,assignment]
     if not tuning.count_dispatches:
-        EngineLoad.on_dispatch = _nothing  # type: ignore[method-assign,assignment]
+        EngineLoad.on_dispatch = _do_nothing  # type: ignore[method-assign,assignment]
 
 
 def _no_answers(*_: object) -> dict[str, object]:
     return {}
 
 
-def _nothing(*_: object) -> None:
+def _do_nothing(*_: object) -> None:
     return
--- a/tools/bench/workloads.py
+++ b/tools/bench/workloads.py
@@ -25,12 +25,12 @@
     ----------
     at_s
         Second after the start of the trace at which it is sent.
-    entry
+    daemon_selector
         Number that selects the daemon, as the platform's balancer would.
     """
 
     at_s: float
-    entry: int
+    daemon_selector: int
     prompt: Prompt
 
 
@@ -40,9 +40,9 @@
 
     Attributes
     ----------
-    large_share
+    workspace_skew
         Exponent of the Zipf-like sizes of the workspaces.
-    skew
+    prefix_skew
         Exponent of the Zipf-like choice of a shared prefix in a workspace.
     prefixes
         Shared prefixes (customer histories, tariffs) in each workspace.
@@ -52,9 +52,9 @@
         Callers with a short text of their own after the prefix; 0 for none.
     question_tokens
         Least and most tokens of a question; each question is asked once.
-    rate
+    rate_per_s
         Arrivals per second in the first half.
-    late_rate
+    late_rate_per_s
         Arrivals per second in the second half.
     shift
         Ranks by which the hot prefixes move at half time.
@@ -65,16 +65,16 @@
     """
 
     name: str
-    large_share: float
-    skew: float
+    workspace_skew: float
+    prefix_skew: float
     prefixes: int
     instruction_blocks: tuple[float, float]
     prefix_blocks: tuple[float, float]
     notes: int = 0
     note_tokens: int = 0
     question_tokens: tuple[int, int]
-    rate: float
-    late_rate: float
+    rate_per_s: float
+    late_rate_per_s: float
     shift: int
     deadline_ms: int
     miss_weight: float = 3.0
@@ -82,29 +82,29 @@
 
 CARONI = Profile(
     name="caroni",
-    large_share=1.0,
-    skew=1.6,
+    workspace_skew=1.0,
+    prefix_skew=1.6,
     prefixes=8,
     instruction_blocks=(2.0, 4.0),
     prefix_blocks=(5.0, 12.0),
     question_tokens=(16, 40),
-    rate=18.0,
-    late_rate=18.0,
+    rate_per_s=18.0,
+    late_rate_per_s=18.0,
     shift=4,
     deadline_ms=12_000,
 )
 ISIKOVA = Profile(
     name="isikova",
-    large_share=0.8,
-    skew=1.2,
+    workspace_skew=0.8,
+    prefix_skew=1.2,
     prefixes=6,
     instruction_blocks=(1.0, 2.0),
     prefix_blocks=(2.0, 4.0),
     notes=30,
     note_tokens=24,
     question_tokens=(8, 16),
-    rate=28.0,
-    late_rate=56.0,
+    rate_per_s=28.0,
+    late_rate_per_s=56.0,
     shift=3,
     deadline_ms=4_000,
 )
@@ -117,58 +117,67 @@
     def __init__(self, profile: Profile, seed: int) -> None:
         self.profile = profile
         self.random = random.Random(f"{profile.name}-{seed}")
-        self.workspace_weights = _zipf(WORKSPACES, profile.large_share)
-        self.prefix_weights = _zipf(profile.prefixes, profile.skew)
-        self.asked = 0
+        self.workspace_weights = _zipf(WORKSPACES, profile.workspace_skew)
+        self.prefix_weights = _zipf(profile.prefixes, profile.prefix_skew)
+        self.question_count = 0
         self.texts = [self._texts(workspace) for workspace in range(WORKSPACES)]
 
-    def warm_up(self, count: int, rate: float) -> list[Arrival]:
+    def warm_up(self, count: int, rate_per_s: float) -> list[Arrival]:
         """Return arrivals at a steady rate before the hot prefixes move."""
-        return list(self._poisson(lambda _: rate, lambda _: 0, count / rate))
+        return list(
+            self._poisson_arrivals(lambda _: rate_per_s, lambda _: 0, count / rate_per_s)
+        )
 
     def arrivals(self, seconds: float) -> list[Arrival]:
         """Return the measured arrivals; rate and hot set change at half time."""
         half = seconds / 2
         profile = self.profile
         return list(
-            self._poisson(
-                lambda at: profile.rate if at < half else profile.late_rate,
+            self._poisson_arrivals(
+                lambda at: profile.rate_per_s if at < half else profile.late_rate_per_s,
                 lambda at: 0 if at < half else profile.shift,
                 seconds,
             )
         )
 
-    def _poisson(
-        self, rate: Callable[[float], float], shift: Callable[[float], int], seconds: float
+    def _poisson_arrivals(
+        self,
+        rate_per_s: Callable[[float], float],
+        shift: Callable[[float], int],
+        seconds: float,
     ) -> Iterator[Arrival]:
         at = 0.0
         while True:
-            at += self.random.expovariate(rate(at))
+            at += self.random.expovariate(rate_per_s(at))
             if at >= seconds:
                 return
-            entry = self.random.randrange(1 << 16)
-            yield Arrival(at_s=at, entry=entry, prompt=self._prompt(shift(at)))
+            daemon_selector = self.random.randrange(1 << 16)
+            yield Arrival(
+                at_s=at, daemon_selector=daemon_selector, prompt=self._prompt(shift(at))
+            )
 
     def _prompt(self, shift: int) -> Prompt:
         profile = self.profile
-        workspace = _choose(self.random, self.workspace_weights)
-        rank = _choose(self.random, self.prefix_weights)
+        workspace = _weighted_index(self.random, self.workspace_weights)
+        rank = _weighted_index(self.random, self.prefix_weights)
         prefix = (rank + shift) % profile.prefixes
         instructions, prefixes, notes = self.texts[workspace]
         parts = [("system", instructions), ("user", prefixes[prefix])]
         if notes:
             parts.append(("user", notes[self.random.randrange(len(notes))]))
-        self.asked += 1
-        question = _text(f"q{self.asked}", self.random.randint(*profile.question_tokens))
+        self.question_count += 1
+        question = _text(
+            f"q{self.question_count}", self.random.randint(*profile.question_tokens)
+        )
         parts.append(("user", question))
         messages = tuple({"role": role, "content": text} for role, text in parts)
         return Prompt(workspace=workspace, customer=prefix, messages=messages)
 
     def _texts(self, workspace: int) -> tuple[str, list[str], list[str]]:
         profile = self.profile
-        instructions = _text(f"w{workspace}", self._tokens(profile.instruction_blocks))
+        instructions = _text(f"w{workspace}", self._random_tokens(profile.instruction_blocks))
         prefixes = [
-            _text(f"w{workspace}p{number}", self._tokens(profile.prefix_blocks))
+            _text(f"w{workspace}p{number}", self._random_tokens(profile.prefix_blocks))
             for number in range(profile.prefixes)
         ]
         notes = [
@@ -177,7 +186,7 @@
         ]
         return instructions, prefixes, notes
 
-    def _tokens(self, blocks: tuple[float, float]) -> int:
+    def _random_tokens(self, blocks: tuple[float, float]) -> int:
         return int(self.random.uniform(*blocks) * BLOCK_TOKENS)
 
 
@@ -185,8 +194,8 @@
     return [1.0 / (rank + 1) ** exponent for rank in range(count)]
 
 
-def _choose(generator: random.Random, weights: Sequence[float]) -> int:
-    return generator.choices(range(len(weights)), weights)[0]
+def _weighted_index(rng: random.Random, weights: Sequence[float]) -> int:
+    return rng.choices(range(len(weights)), weights)[0]
 
 
 def _text(name: str, tokens: int) -> str:
--- a/tools/bench_index.py
+++ b/tools/bench_index.py
@@ -29,70 +29,70 @@
 DECISIONS = 3000
 REPEATS = 2000
 SEED = 11
-CHUNK = 1000
+KEYS_PER_BATCH = 1000
 
 
 def main() -> None:
     """Run all measurements."""
-    _filled(INDEX_SIZES[0])
+    _filled_index(INDEX_SIZES[0])
     for size in INDEX_SIZES:
-        _index(size)
+        _measure_index(size)
     for count in ENGINE_COUNTS:
-        _decision(count, new_keys=False)
-        _decision(count, new_keys=True)
+        _measure_decision(count, new_keys=False)
+        _measure_decision(count, new_keys=True)
     for count in MEMBER_COUNTS:
-        _homes(count)
-    _query_codec()
+        _measure_homes(count)
+    _measure_query_codec()
 
 
 def _print(name: str, size: int, value: float) -> None:
     print(f"{name} {size} {value:.2f}")
 
 
-def _index(size: int) -> None:
-    choose = random.Random(SEED)
+def _measure_index(size: int) -> None:
+    rng = random.Random(SEED)
     index = EngineIndex(0.0)
     index.set_capacity(size)
-    keys = [choose.randbytes(16) for _ in range(size)]
+    keys = [rng.randbytes(16) for _ in range(size)]
     _print("index_bytes_per_key", size, _bytes_per_key(size))
-    _print("index_resident_bytes_per_key", size, _resident_per_key(size))
-    numbers = itertools.count(1)
-    _apply(index, keys, CacheEventKind.STORED, numbers)
-    _print("index_churn_events_per_s", size, _churn(index, keys, numbers, choose))
-    prompts = [[choose.choice(keys) for _ in range(PROMPT_BLOCKS)] for _ in range(500)]
-    asked = [[short_key(key) for key in prompt] for prompt in prompts]
+    _print("index_resident_bytes_per_key", size, _resident_bytes_per_key(size))
+    sequences = itertools.count(1)
+    _apply(index, keys, CacheEventKind.STORED, sequences)
+    _print("index_churn_events_per_s", size, _churn_events_per_s(index, keys, sequences, rng))
+    prompts = [[rng.choice(keys) for _ in range(PROMPT_BLOCKS)] for _ in range(500)]
+    queries = [[short_key(key) for key in prompt] for prompt in prompts]
     depths = range(1, PROMPT_BLOCKS + 1)
     _print("index_lookup_20_blocks_us", size, _time_us(
-        lambda: [index.lookup(prompt, depths, 1.0) for prompt in asked], len(asked)
+        lambda: [index.lookup(prompt, depths, 1.0) for prompt in queries], len(queries)
     ))  # fmt: skip
 
 
-def _filled(size: int) -> EngineIndex:
-    choose = random.Random(SEED)
+def _filled_index(size: int) -> EngineIndex:
+    rng = random.Random(SEED)
     index = EngineIndex(0.0)
     index.set_capacity(size)
-    numbers = itertools.count(1)
-    for start in range(0, size, CHUNK):
-        chunk = [choose.randbytes(16) for _ in range(min(CHUNK, size - start))]
-        _apply(index, chunk, CacheEventKind.STORED, numbers)
+    sequences = itertools.count(1)
+    for start in range(0, size, KEYS_PER_BATCH):
+        batch = [rng.randbytes(16) for _ in range(min(KEYS_PER_BATCH, size - start))]
+        _apply(index, batch, CacheEventKind.STORED, sequences)
     return index
 
 
 def _bytes_per_key(size: int) -> float:
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    index = _filled(size)
+    index = _filled_index(size)
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return (after - before) / len(index.table)
 
 
-def _resident_per_key(size: int) -> float:
+def _resident_bytes_per_key(size: int) -> float:
     # Several at once, so that pages and arenas left over by others count little.
     copies = max(1, 400_000 // size)
     before = _resident_bytes()
-    held = [_filled(size) for _ in range(copies)]
-    return (_resident_bytes() - before) / sum(len(index.table) for index in held)
+    indexes = [_filled_index(size) for _ in range(copies)]
+    return (_resident_bytes() - before) / sum(len(index.table) for index in indexes)
 
 
 def _resident_bytes() -> int:
@@ -101,41 +101,41 @@
 
 
 def _apply(
-    index: EngineIndex, keys: list[bytes], kind: CacheEventKind, numbers: itertools.count
+    index: EngineIndex, keys: list[bytes], kind: CacheEventKind, sequences: itertools.count
 ) -> None:
-    events = [CacheEvent(next(numbers), kind, (key,)) for key in keys]
+    events = [CacheEvent(next(sequences), kind, (key,)) for key in keys]
     answer = CacheEvents("a", events, events[-1].sequence)
     if not index.incarnation:
         index.on_incarnation("a", 1.0, 1.0)
     index.on_events(answer, 1.0, 1.0)
 
 
-def _churn(
-    index: EngineIndex, keys: list[bytes], numbers: itertools.count, choose: random.Random
+def _churn_events_per_s(
+    index: EngineIndex, keys: list[bytes], sequences: itertools.count, rng: random.Random
 ) -> float:
     """Evict and store in turn, as a full cache does; return events a second."""
     batches = []
     for _ in range(50):
-        gone = choose.sample(range(len(keys)), 100)
-        fresh = [choose.randbytes(16) for _ in gone]
-        batches.append(([keys[place] for place in gone], fresh))
-        for place, key in zip(gone, fresh, strict=True):
-            keys[place] = key
+        evicted = rng.sample(range(len(keys)), 100)
+        stored = [rng.randbytes(16) for _ in evicted]
+        batches.append(([keys[position] for position in evicted], stored))
+        for position, key in zip(evicted, stored, strict=True):
+            keys[position] = key
     started = time.process_time()
-    for old, fresh in batches:
-        _apply(index, old, CacheEventKind.EVICTED, numbers)
-        _apply(index, fresh, CacheEventKind.STORED, numbers)
+    for old, stored in batches:
+        _apply(index, old, CacheEventKind.EVICTED, sequences)
+        _apply(index, stored, CacheEventKind.STORED, sequences)
     return 200 * len(batches) / (time.process_time() - started)
 
 
-def _decision(count: int, new_keys: bool) -> None:
-    choose = random.Random(SEED)
+def _measure_decision(count: int, new_keys: bool) -> None:
+    rng = random.Random(SEED)
     pool = _pool(count)
     route = Route(name="chat", workspace="ws", callers=(), pool="assistant")
-    policy, book = CostPolicy("a", seed=SEED), TargetStateTable()
-    prefixes = [_prefix(choose) for _ in range(DECISIONS if new_keys else 50)]
+    policy, target_states = CostPolicy("a", seed=SEED), TargetStateTable()
+    prefixes = [_prefix(rng) for _ in range(DECISIONS if new_keys else 50)]
     started = time.process_time()
-    _decide(policy, book, pool, route, prefixes[0], 0.0)
+    _decide(policy, target_states, pool, route, prefixes[0], 0.0)
     if new_keys:
         # Once for each change of the pool's targets, mostly for the ring.
         _print("decision_first_ms", count, (time.process_time() - started) * 1e3)
@@ -143,7 +143,7 @@
     for number in range(DECISIONS):
         prefix = prefixes[number % len(prefixes)]
         started = time.process_time_ns()
-        _decide(policy, book, pool, route, prefix, number / 100.0)
+        _decide(policy, target_states, pool, route, prefix, number / 100.0)
         times.append((time.process_time_ns() - started) / 1e3)
     name = "decision_new_prefix" if new_keys else "decision_known_prefix"
     _print(f"{name}_mean_us", count, statistics.fmean(times))
@@ -152,7 +152,7 @@
 
 def _decide(
     policy: CostPolicy,
-    book: TargetStateTable,
+    target_states: TargetStateTable,
     pool: Pool,
     route: Route,
     prefix: Prefix,
@@ -160,15 +160,15 @@
 ) -> None:
     placement = Placement(pool=pool, route=route, prefix=prefix, deadline_ms=1e4, now=now)
     entries = policy.candidates(placement, ())
-    targets = [book.state_of(entry) for entry in entries]
+    targets = [target_states.state_of(entry) for entry in entries]
     views = {
         state.address: CandidateState(state.address, 5, 1.0, 20.0, 2, 100.0, 0.05, "v1")
         for state in targets
     }
-    asked = Placement(
+    placement_with_views = Placement(
         pool=pool, route=route, prefix=prefix, deadline_ms=1e4, now=now, views=views
     )
-    policy.choose(asked, targets)
+    policy.choose(placement_with_views, targets)
 
 
 def _pool(count: int) -> Pool:
@@ -181,12 +181,12 @@
     return Pool(name="assistant", kind=PoolKind.ENGINE, targets=targets, model="atlas")
 
 
-def _prefix(choose: random.Random) -> Prefix:
-    keys = tuple(choose.randbytes(16) for _ in range(PROMPT_BLOCKS))
+def _prefix(rng: random.Random) -> Prefix:
+    keys = tuple(rng.randbytes(16) for _ in range(PROMPT_BLOCKS))
     return Prefix(keys, (4, 18), 40_000, keys[17])
 
 
-def _homes(count: int) -> None:
+def _measure_homes(count: int) -> None:
     members = [f"10.1.{number // 250}.{number % 250}:81" for number in range(count)]
     engines = [f"10.0.{number // 250}.{number % 250}:80" for number in range(600)]
     homes = HomeMap(members[0])
@@ -203,13 +203,13 @@
     _print("homes_one_member_restarts_ms", count, (time.process_time() - started) * 1e3)
 
 
-def _query_codec() -> None:
-    short = sample_prefix(_prefix(random.Random(SEED)))
+def _measure_query_codec() -> None:
+    sampled = sample_prefix(_prefix(random.Random(SEED)))
     states = tuple(
         CandidateState(f"10.0.0.{number}:80", 5, 1.0, 20.0, 2, 100.0, 0.05, "v1")
         for number in range(2)
     )
-    query = CandidateQuery(("10.0.0.1:80", "10.0.0.2:80"), short.keys)
+    query = CandidateQuery(("10.0.0.1:80", "10.0.0.2:80"), sampled.keys)
     answer = CandidateAnswer(states)
 
     def round_trip() -> None:
--- a/tools/binary_main.py
+++ b/tools/binary_main.py
@@ -14,7 +14,9 @@
 import sys
 import zipfile
 
-SUFFIXES = tuple(sorted(importlib.machinery.EXTENSION_SUFFIXES, key=len, reverse=True))
+EXTENSION_SUFFIXES = tuple(
+    sorted(importlib.machinery.EXTENSION_SUFFIXES, key=len, reverse=True)
+)
 
 
 class ExtensionFinder(importlib.abc.MetaPathFinder):
@@ -24,7 +26,7 @@
         self.archive = archive
         self.members: dict[str, str] = {}
         for member in archive.namelist():
-            suffix = next((item for item in SUFFIXES if member.endswith(item)), None)
+            suffix = next((item for item in EXTENSION_SUFFIXES if member.endswith(item)), None)
             if suffix is not None:
                 self.members[member.removesuffix(suffix).replace("/", ".")] = member
 
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -15,23 +15,23 @@
 from pip._vendor.packaging.requirements import Requirement
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-TARGET = ROOT / "dist" / "agaterail"
+BINARY = ROOT / "dist" / "agaterail"
 PACKAGE = ROOT / "agaterail"
-START = ROOT / "tools" / "binary_main.py"
+ENTRY_POINT = ROOT / "tools" / "binary_main.py"
 LOCK = ROOT / "requirements.lock"
-DATE = (2020, 1, 1, 0, 0, 0)
-EXECUTABLE = 0o755
+MEMBER_DATE = (2020, 1, 1, 0, 0, 0)
+EXECUTABLE_MODE = 0o755
 DIGEST_BYTES = 12
-LEFT_OUT = ("tests", "testing", "__pycache__")
+EXCLUDED_DIRECTORIES = ("tests", "testing", "__pycache__")
 # What pip wrote about the environment; it differs between two of them.
-LEFT_OUT_NAMES = ("RECORD", "INSTALLER", "REQUESTED", "direct_url.json")
-LEFT_OUT_SUFFIXES = (".pyc", ".pyi", ".c", ".h", ".pyx", ".pxd", ".pth")
+EXCLUDED_NAMES = ("RECORD", "INSTALLER", "REQUESTED", "direct_url.json")
+EXCLUDED_SUFFIXES = (".pyc", ".pyi", ".c", ".h", ".pyx", ".pxd", ".pth")
 
 
 def main() -> None:
     """Build the binary and print where it is."""
-    build(TARGET)
-    print(f"{TARGET.relative_to(ROOT)}: {TARGET.stat().st_size / 1e6:.1f} MB")
+    build(BINARY)
+    print(f"{BINARY.relative_to(ROOT)}: {BINARY.stat().st_size / 1e6:.1f} MB")
 
 
 def build(target: pathlib.Path) -> None:
@@ -42,17 +42,19 @@
         with zipfile.ZipFile(file, "w", zipfile.ZIP_DEFLATED) as archive:
             members = _members()
             # Packages without __init__.py are found by their directory's entry.
-            for folder in sorted({parent for name in members for parent in _parents(name)}):
-                archive.writestr(zipfile.ZipInfo(f"{folder}/", DATE), b"")
+            for folder in sorted(
+                {parent for name in members for parent in _parent_directories(name)}
+            ):
+                archive.writestr(zipfile.ZipInfo(f"{folder}/", MEMBER_DATE), b"")
             for name, path in sorted(members.items()):
-                _add(archive, name, path)
-    target.chmod(EXECUTABLE)
+                _add_member(archive, name, path)
+    target.chmod(EXECUTABLE_MODE)
 
 
 def build_cached() -> pathlib.Path:
     """Build the binary unless one of the same sources and lock is kept."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    for path in (*sorted(PACKAGE.rglob("*.py")), START, LOCK, pathlib.Path(__file__)):
+    for path in (*sorted(PACKAGE.rglob("*.py")), ENTRY_POINT, LOCK, pathlib.Path(__file__)):
         digest.update(path.read_bytes())
     target = ROOT / "build" / f"agaterail-{digest.hexdigest()}"
     if not target.exists():
@@ -71,61 +73,61 @@
         If an installed version is not the locked one.
     """
     locked = dict(line.split("==") for line in LOCK.read_text().split())
-    locked = {_normal(name): version for name, version in locked.items()}
+    locked = {_normalize_name(name): version for name, version in locked.items()}
     project = tomllib.loads((ROOT / "pyproject.toml").read_text(encoding="utf-8"))["project"]
-    found: dict[str, str] = {}
-    left = [Requirement(text) for text in project["dependencies"]]
-    while left:
-        requirement = left.pop()
-        name = _normal(requirement.name)
+    versions: dict[str, str] = {}
+    pending = [Requirement(text) for text in project["dependencies"]]
+    while pending:
+        requirement = pending.pop()
+        name = _normalize_name(requirement.name)
         marker = requirement.marker
-        if name in found or (marker is not None and not marker.evaluate({"extra": ""})):
+        if name in versions or (marker is not None and not marker.evaluate({"extra": ""})):
             continue
         installed = importlib.metadata.version(name)
         if installed != locked.get(name):
             raise RuntimeError(f"{name} {installed} is not the locked {locked.get(name)}")
-        found[name] = installed
-        left += [Requirement(text) for text in importlib.metadata.requires(name) or ()]
-    return found
+        versions[name] = installed
+        pending += [Requirement(text) for text in importlib.metadata.requires(name) or ()]
+    return versions
 
 
-def _normal(name: str) -> str:
+def _normalize_name(name: str) -> str:
     return name.lower().replace("_", "-").replace(".", "-")
 
 
 def _members() -> dict[str, pathlib.Path]:
-    members = {"__main__.py": START}
+    members = {"__main__.py": ENTRY_POINT}
     for path in PACKAGE.rglob("*.py"):
         members[str(path.relative_to(ROOT))] = path
     for package in runtime_packages():
         for file in importlib.metadata.files(package) or ():
-            if _wanted(file):
+            if _is_included(file):
                 members[str(file)] = pathlib.Path(str(file.locate()))
     return members
 
 
-def _parents(name: str) -> list[str]:
+def _parent_directories(name: str) -> list[str]:
     return [str(parent) for parent in pathlib.PurePosixPath(name).parents][:-1]
 
 
-def _wanted(file: pathlib.PurePath) -> bool:
+def _is_included(file: pathlib.PurePath) -> bool:
     parts = file.parts
     return not (
         parts[0] == ".."
-        or any(part in LEFT_OUT for part in parts)
-        or file.name in LEFT_OUT_NAMES
-        or file.suffix in LEFT_OUT_SUFFIXES
+        or any(part in EXCLUDED_DIRECTORIES for part in parts)
+        or file.name in EXCLUDED_NAMES
+        or file.suffix in EXCLUDED_SUFFIXES
     )
 
 
-def _add(archive: zipfile.ZipFile, name: str, path: pathlib.Path) -> None:
-    for member, data in _contents(name, path):
-        info = zipfile.ZipInfo(member, DATE)
+def _add_member(archive: zipfile.ZipFile, name: str, path: pathlib.Path) -> None:
+    for member, data in _source_and_bytecode(name, path):
+        info = zipfile.ZipInfo(member, MEMBER_DATE)
         info.compress_type = zipfile.ZIP_DEFLATED
         archive.writestr(info, data)
 
 
-def _contents(name: str, path: pathlib.Path) -> Iterator[tuple[str, bytes]]:
+def _source_and_bytecode(name: str, path: pathlib.Path) -> Iterator[tuple[str, bytes]]:
     yield name, path.read_bytes()
     if path.suffix != ".py":
         return
--- a/tools/claims_arithmetic.py
+++ b/tools/claims_arithmetic.py
@@ -28,12 +28,12 @@
 
 TARGET_DAEMONS = 410
 TARGET_REQUESTS_PER_S = 790
-SHARES = (0.05, 0.1, 0.3)
+NON_IDEMPOTENT_SHARES = (0.05, 0.1, 0.3)
 SETTLE_S = 1.5
 
 
 @attrs.frozen(kw_only=True)
-class Measured:
+class RunResult:
     """Claims and appends of one run."""
 
     daemons: int
@@ -46,7 +46,7 @@
     executions: int
 
 
-def computed_appends(claims_per_s: float, records_per_claim: int = 2) -> float:
+def computed_appends_per_s(claims_per_s: float, records_per_claim: int = 2) -> float:
     """Return the appends a second of all partitions.
 
     Claim and outcome each come to the partition's owner at random moments. An
@@ -65,24 +65,25 @@
     arguments = parser.parse_args()
     for daemons, offered in ((1, 20), (1, 100), (8, 20), (8, 100)):
         measured = measure(daemons, offered, arguments.seconds, arguments.seed)
-        wanted = computed_appends(measured.claims_per_s)
+        computed = computed_appends_per_s(measured.claims_per_s)
         print(
             f"{daemons} daemons: {measured.claims_per_s:.0f} claims/s,"
-            f" {measured.appends_per_s:.0f} appends/s (computed {wanted:.0f}),"
+            f" {measured.appends_per_s:.0f} appends/s (computed {computed:.0f}),"
             f" answered in p50 {measured.p50_ms:.0f} p95 {measured.p95_ms:.0f} ms,"
             f" {measured.completed} completed, {measured.other} other,"
             f" {measured.executions} executions"
         )
-    for share in SHARES:
+    for share in NON_IDEMPOTENT_SHARES:
         rate = share * TARGET_REQUESTS_PER_S
         print(
             f"{TARGET_DAEMONS} daemons, {share:.0%} of {TARGET_REQUESTS_PER_S}/s"
-            f" non-idempotent ({rate:.0f} claims/s): {computed_appends(rate):.0f} appends/s"
+            f" non-idempotent ({rate:.0f} claims/s):"
+            f" {computed_appends_per_s(rate):.0f} appends/s"
         )
     print(f"bound at any rate: {PARTITIONS / BATCH_DELAY_S:.0f} appends/s")
 
 
-def measure(daemons: int, rate: float, seconds: float, seed: int) -> Measured:
+def measure(daemons: int, rate: float, seconds: float, seed: int) -> RunResult:
     """Send keyed calls at a rate through all daemons and count the appends."""
     with Fleet("error") as fleet, tempfile.TemporaryDirectory() as folder:
         fleet.start_platform()
@@ -97,7 +98,7 @@
         appends = call(fleet.log, "GET", "/stats")["appends"] - before
         executions = len(call(service, "GET", "/journal")["executions"])
     times = sorted(ms for status, ms in answers if status == 200)
-    return Measured(
+    return RunResult(
         daemons=daemons,
         claims_per_s=len(answers) / seconds,
         appends_per_s=appends / seconds,
@@ -115,17 +116,19 @@
     connections = [HttpConnections(Address.parse(item.address)) for item in fleet.daemons]
     answers: list[tuple[int, float]] = []
     jobs: list[gevent.Greenlet] = []
-    due = time.monotonic()
-    end = due + seconds
-    while due < end:
-        gevent.sleep(max(0.0, due - time.monotonic()))
-        jobs.append(gevent.spawn(_book, rng.choice(connections), len(jobs), answers))
-        due += rng.expovariate(rate)
+    next_send_at = time.monotonic()
+    end = next_send_at + seconds
+    while next_send_at < end:
+        gevent.sleep(max(0.0, next_send_at - time.monotonic()))
+        jobs.append(gevent.spawn(_post_booking, rng.choice(connections), len(jobs), answers))
+        next_send_at += rng.expovariate(rate)
     gevent.joinall(jobs)
     return answers
 
 
-def _book(connections: HttpConnections, number: int, answers: list[tuple[int, float]]) -> None:
+def _post_booking(
+    connections: HttpConnections, number: int, answers: list[tuple[int, float]]
+) -> None:
     headers = {
         "authorization": f"Bearer {api_key_of(0)}",
         "idempotency-key": f"key-{number}",
@@ -153,8 +156,8 @@
     )
 
 
-def _percentile(values: list[float], part: float) -> float:
-    return values[math.floor(part * (len(values) - 1))] if values else 0.0
+def _percentile(values: list[float], fraction: float) -> float:
+    return values[math.floor(fraction * (len(values) - 1))] if values else 0.0
 
 
 if __name__ == "__main__":
--- a/tools/measure_apply.py
+++ b/tools/measure_apply.py
@@ -38,8 +38,8 @@
 IDLE_S = 20.0
 OUTAGE_S = 3.0
 OUTAGES = 5
-POLL_S = 0.002
-LIMIT_S = 20.0
+POLL_INTERVAL_S = 0.002
+IN_FORCE_TIMEOUT_S = 20.0
 TARGET_DAEMONS = 410
 
 
@@ -56,19 +56,19 @@
 
 
 @attrs.frozen
-class InForce:
+class EditTimes:
     """Seconds until an edit was accepted, and until all daemons served it."""
 
     accepted_s: float
-    everywhere_s: float
+    in_force_s: float
 
 
 class Measurement:
     """Edits from this process and the offsets that the daemons serve."""
 
-    def __init__(self, fleet: Fleet, source: random.Random) -> None:
+    def __init__(self, fleet: Fleet, rng: random.Random) -> None:
         self.fleet = fleet
-        self.random = source
+        self.random = rng
         self.log = HttpLogStore(Address.parse(fleet.log))
         self.reader = TablesReader(self.log)
         editing.read_to_end(self.reader)
@@ -83,44 +83,47 @@
         before = self._log_stats()
         started = time.monotonic()
         time.sleep(IDLE_S)
-        idle = self._since(before, started)
+        idle = self._log_rates(before, started)
         print(f"idle.log_reads_per_daemon_s {idle['reads'] / count:.3f}")
         print(f"idle.log_bytes_per_daemon_s {idle['read_bytes'] / count:.1f}")
         before, started = self._log_stats(), time.monotonic()
-        times = [self._edit(number) for number in range(edits)]
-        busy = self._since(before, started)
-        _print("apply.accepted_ms", [item.accepted_s for item in times])
-        _print("apply.in_force_ms", [item.everywhere_s for item in times])
+        times = [self._measure_edit(number) for number in range(edits)]
+        busy = self._log_rates(before, started)
+        _print_percentiles("apply.accepted_ms", [item.accepted_s for item in times])
+        _print_percentiles("apply.in_force_ms", [item.in_force_s for item in times])
         print(f"apply.edits_per_s {edits * busy['per_s']:.2f}")
         per_edit = count * edits * busy["per_s"]
         print(f"apply.log_reads_per_daemon_edit {busy['reads'] / per_edit:.2f}")
         print(f"apply.log_bytes_per_daemon_edit {busy['read_bytes'] / per_edit:.0f}")
         print(f"target.idle_log_reads_per_s {TARGET_DAEMONS / LONG_POLL_S:.0f}")
-        _print("outage.in_force_after_return_ms", [self._outage(n) for n in range(OUTAGES)])
+        _print_percentiles(
+            "outage.in_force_after_return_ms",
+            [self._measure_outage(n) for n in range(OUTAGES)],
+        )
         self.peers.stop()
 
-    def _edit(self, number: int) -> InForce:
+    def _measure_edit(self, number: int) -> EditTimes:
         gevent.sleep(self.random.uniform(0.02, 0.1))
         started = time.monotonic()
         offset = self._submit(f"edit-{number}")
         accepted_s = time.monotonic() - started
-        self._wait_everywhere(offset)
-        return InForce(accepted_s, time.monotonic() - started)
+        self._wait_for_all(offset)
+        return EditTimes(accepted_s, time.monotonic() - started)
 
-    def _outage(self, number: int) -> float:
+    def _measure_outage(self, number: int) -> float:
         """Send an edit while the log is down; count from the log's return."""
         self.fleet.control(self.fleet.log, down=True)
         submitted = gevent.spawn(self._submit, f"outage-{number}")
         gevent.sleep(OUTAGE_S + self.random.uniform(0, 2))
         self.fleet.control(self.fleet.log, down=False)
         started = time.monotonic()
-        self._wait_everywhere(submitted.get())
+        self._wait_for_all(submitted.get())
         return time.monotonic() - started
 
     def _submit(self, edit_id: str) -> int:
         editing.read_to_end(self.reader)
-        held = self.reader.tables.routes["assistant-0"]
-        row = attrs.evolve(held.row, priority=(held.row.priority + 1) % 10)
+        current = self.reader.tables.routes["assistant-0"]
+        row = attrs.evolve(current.row, priority=(current.row.priority + 1) % 10)
         assert isinstance(row, Route)
         assert row.models == (MODEL,)
         assert row.callers == (digest_of("key-0"),)
@@ -128,48 +131,48 @@
             table=TableName.ROUTES,
             name=row.name,
             action=Action.PUT,
-            expected_version=held.version,
+            expected_version=current.version,
             route=row,
         )
         edit = Edit(edit_id=edit_id, author="measure", changes=(change,))
         result = editing.submit(self.log, self.reader, edit, gevent.sleep)
         return result.unwrap().tables.through
 
-    def _wait_everywhere(self, offset: int) -> None:
-        end = time.monotonic() + LIMIT_S
+    def _wait_for_all(self, offset: int) -> None:
+        deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
         waits = [
-            gevent.spawn(self._wait_for, daemon.peer_address, offset, end)
+            gevent.spawn(self._wait_for_daemon, daemon.peer_address, offset, deadline)
             for daemon in self.fleet.daemons
         ]
         gevent.joinall(waits, raise_error=True)
 
-    def _wait_for(self, address: str, offset: int, end: float) -> None:
-        while time.monotonic() < end:
+    def _wait_for_daemon(self, address: str, offset: int, deadline: float) -> None:
+        while time.monotonic() < deadline:
             answer = self.peers.query(address, OffsetQuery(), 0.1)
             if isinstance(answer, Success):
                 served = answer.unwrap()
                 if isinstance(served, OffsetAnswer) and served.through >= offset:
                     return
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
         raise RuntimeError(f"{address} does not serve offset {offset}")
 
     def _log_stats(self) -> dict:
         return call(self.fleet.log, "GET", "/stats")
 
-    def _since(self, before: dict, started: float) -> dict[str, float]:
+    def _log_rates(self, before: dict, started: float) -> dict[str, float]:
         seconds = time.monotonic() - started
         after = self._log_stats()
-        found = {
+        rates = {
             name: (after[name] - before[name]) / seconds for name in ("reads", "read_bytes")
         }
-        return {**found, "per_s": 1 / seconds}
+        return {**rates, "per_s": 1 / seconds}
 
 
-def _print(name: str, seconds: list[float]) -> None:
+def _print_percentiles(name: str, seconds: list[float]) -> None:
     ordered = sorted(seconds)
-    for part in (0.5, 0.99):
-        value = ordered[min(len(ordered) - 1, int(len(ordered) * part))]
-        print(f"{name}.p{part * 100:.0f} {value * 1e3:.1f}", flush=True)
+    for fraction in (0.5, 0.99):
+        value = ordered[min(len(ordered) - 1, int(len(ordered) * fraction))]
+        print(f"{name}.p{fraction * 100:.0f} {value * 1e3:.1f}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tools/measure_desired.py
+++ b/tools/measure_desired.py
@@ -33,15 +33,15 @@
 KEY_LENGTH, NAME_LENGTH = 20, 7
 MB = 1e6
 
-Made = TypeVar("Made")
+Result = TypeVar("Result")
 
 
 def make_state(version: int, routes: int, workspaces: int) -> bytes:
     """Return the record of a state whose names and keys are random but repeatable."""
-    chance = random.Random(1)
+    rng = random.Random(1)
 
     def name(length: int) -> str:
-        return "".join(chance.choices(NAME_CHARACTERS, k=length))
+        return "".join(rng.choices(NAME_CHARACTERS, k=length))
 
     rows: list[dict[str, Any]] = [
         {
@@ -74,29 +74,29 @@
 def main(routes: int = 2800, workspaces: int = 0) -> None:
     """Measure a state of so many rows."""
     first, second = (make_state(version, routes, workspaces) for version in (1, 2))
-    reader, asker, decoder = DocumentFeed(), DocumentFeed(), DesiredDecoder()
-    for feed in (reader, asker):
+    reader, requester, decoder = DocumentFeed(), DocumentFeed(), DesiredDecoder()
+    for feed in (reader, requester):
         feed.add_reading(Reading([], 0, 0.0, listed=True))
     print(f"state {len(first) / MB:.2f} MB")
-    former = documents.EMPTY
+    previous = documents.EMPTY
     for offset, text in enumerate((first, second)):
-        title = "change" if offset else "whole"
-        document = _timed(f"{title}: parse", partial(_parse, text, former))
+        label = "change" if offset else "whole"
+        document = _timed(f"{label}: parse", partial(_parse, text, previous))
         record = DocumentRecord(offset, "config", document)
         reader.add_reading(Reading([record], offset + 1, 0.0))
         packed = _timed(
-            f"{title}: pack", partial(reader.pack_since, offset, asker.base_offsets)
+            f"{label}: pack", partial(reader.pack_since, offset, requester.base_offsets)
         )
-        print(f"{title}: packed {sum(len(item.value) for item in packed or ())} bytes")
-        records = _timed(f"{title}: unpack", partial(_unpack, asker, packed or ()))
-        asker.add_reading(Reading(records, offset + 1, 0.0))
-        _timed(f"{title}: decode", partial(_decode, decoder, document))
-        former = document
+        print(f"{label}: packed {sum(len(item.value) for item in packed or ())} bytes")
+        records = _timed(f"{label}: unpack", partial(_unpack, requester, packed or ()))
+        requester.add_reading(Reading(records, offset + 1, 0.0))
+        _timed(f"{label}: decode", partial(_decode, decoder, document))
+        previous = document
     _measure_memory(routes, workspaces)
 
 
-def _parse(text: bytes, former: Document) -> Document:
-    return documents.parse(text, former).unwrap()
+def _parse(text: bytes, previous: Document) -> Document:
+    return documents.parse(text, previous).unwrap()
 
 
 def _unpack(feed: DocumentFeed, packed: Sequence[PackedRecord]) -> list[Record]:
@@ -107,19 +107,19 @@
     return decoder.decode(document).unwrap()
 
 
-def _timed(title: str, work: Callable[[], Made]) -> Made:
-    began = time.perf_counter()
-    made = work()
-    print(f"{title} {(time.perf_counter() - began) * MS_PER_S:.1f} ms")
-    return made
+def _timed(label: str, work: Callable[[], Result]) -> Result:
+    started = time.perf_counter()
+    result = work()
+    print(f"{label} {(time.perf_counter() - started) * MS_PER_S:.1f} ms")
+    return result
 
 
 def _measure_memory(routes: int, workspaces: int) -> None:
     tracemalloc.start()
-    feed, former = DocumentFeed(), documents.EMPTY
+    feed, previous = DocumentFeed(), documents.EMPTY
     for offset in range(MAX_VERSIONS):
-        former = documents.parse(make_state(offset, routes, workspaces), former).unwrap()
-        record = DocumentRecord(offset, "config", former)
+        previous = documents.parse(make_state(offset, routes, workspaces), previous).unwrap()
+        record = DocumentRecord(offset, "config", previous)
         feed.add_reading(Reading([record], offset + 1, 0.0, listed=True))
     print(f"{MAX_VERSIONS} versions {tracemalloc.get_traced_memory()[0] / MB:.1f} MB")
 
--- a/tools/measure_drain.py
+++ b/tools/measure_drain.py
@@ -23,12 +23,12 @@
 from tools.fleet import MODEL, Fleet, api_key_of, apply_tables, call, tables_toml
 
 ENGINES = 3
-LAG_S = 3.0
+DRAIN_LAG_S = 3.0
 STREAM_S = 20.0
 DECODE_MS = 100.0
 LONG_TOKENS = int(STREAM_S * 1000 / DECODE_MS)
 SHORT_TOKENS = 5
-GAP_S = 0.05
+REQUEST_INTERVAL_S = 0.05
 SIGNAL_AT_S = 3.0
 LEAVE_AT_S = 1.0
 LEAVE_BOUND_S = 3.0
@@ -44,56 +44,56 @@
         fleet.start_engines(ENGINES, {"decode_ms": DECODE_MS})
         text = tables_toml(fleet.engines, 1, {"weights_version": "v1"}, {})
         apply_tables(fleet, text, folder)
-        fleet.start_daemons(2, ["--drain-lag-s", str(LAG_S)])
+        fleet.start_daemons(2, ["--drain-lag-s", str(DRAIN_LAG_S)])
         _run(fleet, arguments.long)
 
 
-def _run(fleet: Fleet, long: int) -> None:
+def _run(fleet: Fleet, long_streams: int) -> None:
     seen: collections.defaultdict[str, list[Seen]] = collections.defaultdict(list)
     draining, leaving = fleet.daemons[0], fleet.engines[0]
     jobs = [
-        gevent.spawn(_ask, draining.address, number, LONG_TOKENS, seen["long"])
-        for number in range(long)
+        gevent.spawn(_stream, draining.address, number, LONG_TOKENS, seen["long"])
+        for number in range(long_streams)
     ]
     started = time.monotonic()
     signalled = left = False
-    in_time: int | None = None
-    number = long
-    while time.monotonic() < started + SIGNAL_AT_S + LAG_S:
-        at = time.monotonic() - started
-        if at >= LEAVE_AT_S and not left:
+    executions_at_bound: int | None = None
+    number = long_streams
+    while time.monotonic() < started + SIGNAL_AT_S + DRAIN_LAG_S:
+        elapsed_s = time.monotonic() - started
+        if elapsed_s >= LEAVE_AT_S and not left:
             left = True
             fleet.put_host(leaving, "engine", "leaving", "a")
-        if at >= LEAVE_AT_S + LEAVE_BOUND_S and in_time is None:
-            in_time = _executions(leaving)
-        if at >= SIGNAL_AT_S and not signalled:
+        if elapsed_s >= LEAVE_AT_S + LEAVE_BOUND_S and executions_at_bound is None:
+            executions_at_bound = _execution_count(leaving)
+        if elapsed_s >= SIGNAL_AT_S and not signalled:
             signalled = True
             draining.process.send_signal(signal.SIGTERM)
         kind = "during the lag" if signalled else "before"
-        jobs.append(gevent.spawn(_ask, draining.address, number, SHORT_TOKENS, seen[kind]))
+        jobs.append(gevent.spawn(_stream, draining.address, number, SHORT_TOKENS, seen[kind]))
         number += 1
-        gevent.sleep(GAP_S)
+        gevent.sleep(REQUEST_INTERVAL_S)
     gevent.joinall(jobs)
     status = draining.process.wait(30)
     for kind, streams in seen.items():
         whole = sum(item.whole for item in streams)
         errors = {item.error[:80] for item in streams if not item.whole}
         print(f"{kind}: {len(streams)} streams, {whole} whole, errors {sorted(errors)}")
-    late = _executions(leaving) - (in_time or 0)
-    print(f"leaving target: {late} new requests later than {LEAVE_BOUND_S:g} s")
+    late_executions = _execution_count(leaving) - (executions_at_bound or 0)
+    print(f"leaving target: {late_executions} new requests later than {LEAVE_BOUND_S:g} s")
     print(
         f"exit status {status}, {time.monotonic() - started - SIGNAL_AT_S:.1f} s after SIGTERM"
     )
 
 
-def _ask(address: str, number: int, tokens: int, results: list[Seen]) -> None:
+def _stream(address: str, number: int, tokens: int, results: list[Seen]) -> None:
     messages = ({"role": "user", "content": f"question {number}"},)
     prompt = Prompt(workspace=0, customer=0, messages=messages)
     client = StreamClient(address, api_key_of(0), MODEL)
     results.append(client.ask(prompt, max_tokens=tokens))
 
 
-def _executions(engine: str) -> int:
+def _execution_count(engine: str) -> int:
     return len(call(engine, "GET", "/journal")["executions"])
 
 
--- a/tools/measure_startup.py
+++ b/tools/measure_startup.py
@@ -27,16 +27,16 @@
 SEED = 11
 STARTS = 1000
 TICK_S = 0.005
-LIMIT_S = 5.0
-NEWEST = 100
+START_LIMIT_S = 5.0
+NEWEST_OFFSET = 100
 SCHEMES = ((1, 1), (3, 1), (5, 1), (5, 3), (8, 1), (8, 4), (8, 6), (16, 8), (16, 12))
-SIZES = (8, 410)
+MEMBER_COUNTS = (8, 410)
 RESTARTS = 8
-OLD_DAEMONS = 2
+RUNNING_DAEMONS = 2
 
 
 @attrs.frozen(kw_only=True)
-class Peer:
+class SimulatedPeer:
     """A simulated peer; ``answer_s`` is None when it is stalled."""
 
     answer_s: float | None
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Start:
+class SimulatedStart:
     """One simulated start: seconds until it serves, what it serves, messages."""
 
     seconds: float
@@ -55,51 +55,70 @@
 def main() -> None:
     """Run the simulation or the real starts."""
     if sys.argv[1:2] == ["real"]:
-        _real(int(sys.argv[2]))
+        _measure_real_starts(int(sys.argv[2]))
         return
     print("members stalled stale   k l  p50_ms p99_ms below_newest messages")
-    source = random.Random(SEED)
-    for members in SIZES:
+    rng = random.Random(SEED)
+    for members in MEMBER_COUNTS:
         for stalled, stale in ((0.0, 0.2), (0.25, 0.25), (0.5, 0.5)):
-            for asked, wanted in SCHEMES:
-                _print(source, members, stalled, stale, asked, wanted)
-
-
-def _print(
-    source: random.Random, members: int, stalled: float, stale: float, asked: int, wanted: int
+            for peers_per_round, sufficient_answers in SCHEMES:
+                _print_scheme(
+                    rng, members, stalled, stale, peers_per_round, sufficient_answers
+                )
+
+
+def _print_scheme(
+    rng: random.Random,
+    members: int,
+    stalled: float,
+    stale: float,
+    peers_per_round: int,
+    sufficient_answers: int,
 ) -> None:
     starts = [
-        _start(source, _peers(source, members - 1, stalled, stale), asked, wanted)
+        _simulate_start(
+            rng,
+            _random_peers(rng, members - 1, stalled, stale),
+            peers_per_round,
+            sufficient_answers,
+        )
         for _ in range(STARTS)
     ]
     times = sorted(start.seconds for start in starts)
-    below = sum(start.through < NEWEST for start in starts) / STARTS
+    below_newest = sum(start.through < NEWEST_OFFSET for start in starts) / STARTS
     messages = sum(start.messages for start in starts) / STARTS
     print(
-        f"{members:7d} {stalled:7.2f} {stale:5.2f} {asked:3d} {wanted}  "
+        f"{members:7d} {stalled:7.2f} {stale:5.2f} {peers_per_round:3d} {sufficient_answers}  "
         f"{times[STARTS // 2] * 1e3:6.0f} {times[STARTS * 99 // 100] * 1e3:6.0f} "
-        f"{below:12.4f} {messages:8.1f}"
+        f"{below_newest:12.4f} {messages:8.1f}"
     )
 
 
-def _peers(source: random.Random, count: int, stalled: float, stale: float) -> dict[str, Peer]:
+def _random_peers(
+    rng: random.Random, count: int, stalled: float, stale: float
+) -> dict[str, SimulatedPeer]:
     peers = {}
     for number in range(count):
-        hangs = source.random() < stalled
-        old = source.random() < stale
-        peers[str(number)] = Peer(
-            answer_s=None if hangs else source.lognormvariate(-6.2, 0.8),
-            through=NEWEST - source.randint(1, 20) if old else NEWEST,
+        is_stalled = rng.random() < stalled
+        is_stale = rng.random() < stale
+        peers[str(number)] = SimulatedPeer(
+            answer_s=None if is_stalled else rng.lognormvariate(-6.2, 0.8),
+            through=NEWEST_OFFSET - rng.randint(1, 20) if is_stale else NEWEST_OFFSET,
         )
     return peers
 
 
-def _start(source: random.Random, peers: dict[str, Peer], asked: int, wanted: int) -> Start:
+def _simulate_start(
+    rng: random.Random,
+    peers: dict[str, SimulatedPeer],
+    peers_per_round: int,
+    sufficient_answers: int,
+) -> SimulatedStart:
     """Start with the log down; only the peers can answer."""
-    plan = StartupPlan(source, 0.0, asked, wanted)
+    plan = StartupPlan(rng, 0.0, peers_per_round, sufficient_answers)
     plan.log.failed = True
     now, messages = 0.0, 0
-    while now < LIMIT_S:
+    while now < START_LIMIT_S:
         current = plan.round
         if current is not None:
             for address in sorted(current.pending):
@@ -107,26 +126,26 @@
                 if answer_s is not None and now - current.started_at >= answer_s:
                     current.on_answer(address, peers[address].through)
         if plan.decide(-1, now) is Decision.FETCH and plan.round is not None:
-            return Start(now, plan.round.floor, messages)
+            return SimulatedStart(now, plan.round.floor, messages)
         messages += len(plan.next_round(peers, now))
         now += TICK_S
-    return Start(LIMIT_S, -1, messages)
+    return SimulatedStart(START_LIMIT_S, -1, messages)
 
 
-def _real(rows: int) -> None:
+def _measure_real_starts(rows: int) -> None:
     with Fleet("error") as fleet, tempfile.TemporaryDirectory() as folder:
         fleet.start_platform()
         fleet.start_engines(2, {"prefill_ms_per_token": 0.001})
         _apply(fleet, folder, tables_toml(fleet.engines, rows, {}, {}))
-        fleet.start_daemons(OLD_DAEMONS)
-        _restarts(fleet, "log_up_peers_up", rows)
+        fleet.start_daemons(RUNNING_DAEMONS)
+        _measure_restarts(fleet, "log_up_peers_up", rows)
         fleet.control(fleet.log, down=True)
-        _restarts(fleet, "log_down_peers_up", rows)
+        _measure_restarts(fleet, "log_down_peers_up", rows)
         fleet.control(fleet.log, down=False)
         for daemon in fleet.daemons:
             daemon.process.kill()
             daemon.process.wait()
-        _restarts(fleet, "log_up_peers_dead", rows)
+        _measure_restarts(fleet, "log_up_peers_dead", rows)
 
 
 def _apply(fleet: Fleet, folder: str, text: str) -> None:
@@ -139,11 +158,11 @@
         raise RuntimeError(f"apply failed with {status}")
 
 
-def _restarts(fleet: Fleet, name: str, rows: int) -> None:
+def _measure_restarts(fleet: Fleet, name: str, rows: int) -> None:
     times = []
     for _ in range(RESTARTS):
         daemon = fleet.start_daemon()
-        times.append(_first_answer_s(daemon))
+        times.append(_first_token_s(daemon))
         daemon.process.send_signal(signal.SIGKILL)
         daemon.process.wait()
         fleet.put_host(daemon.peer_address, "router", "gone", "a")
@@ -152,7 +171,7 @@
     print(f"start.{name}.max_ms {rows} {times[-1] * 1e3:.0f}", flush=True)
 
 
-def _first_answer_s(daemon: Daemon) -> float:
+def _first_token_s(daemon: Daemon) -> float:
     """Return the seconds from the open port to a first token."""
     address = Address.parse(daemon.address)
     while True:
@@ -167,10 +186,10 @@
     prompt = next(iter(Workload(SEED, workspaces=1).prompts(1)))
     client = StreamClient(daemon.address, api_key_of(0), "atlas")
     while True:
-        asked = time.monotonic()
+        sent_at = time.monotonic()
         seen = client.ask(prompt)
         if seen.whole:
-            return asked - opened + seen.first_token_ms / 1e3
+            return sent_at - opened + seen.first_token_ms / 1e3
         if time.monotonic() - opened > 20:
             raise RuntimeError("no request was served in 20 s")
         time.sleep(0.005)
--- a/tools/measure_tables.py
+++ b/tools/measure_tables.py
@@ -35,10 +35,10 @@
 ROWS = (1_000, 6_000, 23_000)
 MEMBERS = (8, 64, 400)
 EDITS = 40
-SECONDS = 60
+MEASURE_S = 60
 ENGINES = 600
 EDIT_IDS = 4096
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 
 def main() -> None:
@@ -105,14 +105,14 @@
     homes.set_members(address_of(number) for number in range(count))
     engines = [f"10.9.{number // 250}.{number % 250}:80" for number in range(ENGINES)]
     old = {engine: homes.home_of(engine) for engine in engines}
-    rest = [address_of(number) for number in range(count) if number != count // 2]
-    _, change_ms = _timed(lambda: _move(homes, rest, engines))
+    remaining = [address_of(number) for number in range(count) if number != count // 2]
+    _, change_ms = _timed(lambda: _change_members(homes, remaining, engines))
     moved = sum(homes.home_of(engine) != old[engine] for engine in engines)
     _print("homes.change_ms", count, change_ms)
     _print("homes.moved_of_600", count, moved)
 
 
-def _move(homes: HomeMap, members: list[str], engines: list[str]) -> None:
+def _change_members(homes: HomeMap, members: list[str], engines: list[str]) -> None:
     homes.set_members(members)
     for engine in engines:
         homes.home_of(engine)
@@ -120,8 +120,8 @@
 
 def _messages_per_s(cluster: Cluster) -> float:
     before = cluster.network.messages
-    cluster.run(SECONDS, 0.5)
-    return (cluster.network.messages - before) / SECONDS / len(cluster.apps)
+    cluster.run(MEASURE_S, 0.5)
+    return (cluster.network.messages - before) / MEASURE_S / len(cluster.apps)
 
 
 def _tables(rows: int) -> Tables:
@@ -171,7 +171,7 @@
     )
 
 
-def _timed(call: Callable[[], T]) -> tuple[T, float]:
+def _timed(call: Callable[[], Result]) -> tuple[Result, float]:
     started = time.perf_counter()
     result = call()
     return result, (time.perf_counter() - started) * 1e3
--- a/tools/overhead.py
+++ b/tools/overhead.py
@@ -35,8 +35,8 @@
 ENGINES = 4
 WORKSPACES = 8
 RATE_PER_S = 100
-TURNS = 6
-TURN_S = 5.0
+PHASES = 6
+PHASE_S = 5.0
 ENGINE = {
     "block_tokens": 100,
     "capacity_blocks": 20_000,
@@ -49,12 +49,12 @@
 STREAM_TOKENS = 400
 STREAM_SECONDS = 8.0
 STREAMS = (8, 64)
-CHUNK_MARK = b'"delta": {"content"'
-END_MARK = b"data: [DONE]\n\n"
+CHUNK_MARKER = b'"delta": {"content"'
+END_MARKER = b"data: [DONE]\n\n"
 
 
 @attrs.frozen
-class Relayed:
+class StreamingResult:
     """What one level of concurrency gave."""
 
     streams: int
@@ -88,16 +88,16 @@
     daemon = fleet.daemons[0]
     direct: list[Seen] = []
     routed: list[Seen] = []
-    _send_turn([daemon.address], workload, 1.0)  # first requests open connections
+    _send_phase([daemon.address], workload, 1.0)  # first requests open connections
     cpu_s, started = 0.0, 0.0
-    for _ in range(TURNS // 2):
-        direct += _send_turn(fleet.engines, workload, TURN_S)
+    for _ in range(PHASES // 2):
+        direct += _send_phase(fleet.engines, workload, PHASE_S)
         before = _cpu_seconds(daemon)
-        routed += _send_turn([daemon.address], workload, TURN_S)
+        routed += _send_phase([daemon.address], workload, PHASE_S)
         cpu_s += _cpu_seconds(daemon) - before
-        started += TURN_S
+        started += PHASE_S
     for name, seen in (("direct", direct), ("routed", routed)):
-        print(f"first token, {name}: {_described(seen)}")
+        print(f"first token, {name}: {_summary(seen)}")
     for part in (0.5, 0.99):
         added = _quantile(routed, part) - _quantile(direct, part)
         print(f"added first token p{part * 100:.0f}: {added:.2f} ms")
@@ -105,7 +105,7 @@
     return sum(not item.whole for item in (*direct, *routed))
 
 
-def _send_turn(addresses: Sequence[str], workload: Workload, seconds: float) -> list[Seen]:
+def _send_phase(addresses: Sequence[str], workload: Workload, seconds: float) -> list[Seen]:
     clients = [
         [StreamClient(address, api_key_of(number), MODEL) for number in range(WORKSPACES)]
         for address in addresses
@@ -125,26 +125,26 @@
     workload = Workload(SEED, WORKSPACES, instruction_tokens=100, history_tokens=100)
     end = time.monotonic() + STREAM_SECONDS
     before, started = _cpu_seconds(daemon), time.monotonic()
-    counters = [
+    streamers = [
         gevent.spawn(_stream_until, end, daemon.address, number % WORKSPACES, workload)
         for number in range(streams)
     ]
-    gevent.joinall(counters)
-    found = [greenlet.get() for greenlet in counters]
-    relayed = Relayed(
+    gevent.joinall(streamers)
+    results = [greenlet.get() for greenlet in streamers]
+    result = StreamingResult(
         streams,
-        sum(broken for _, broken in found),
-        sum(events for events, _ in found),
+        sum(broken for _, broken in results),
+        sum(events for events, _ in results),
         time.monotonic() - started,
         _cpu_seconds(daemon) - before,
     )
     print(
-        f"{relayed.streams} streams: {relayed.events / relayed.seconds:.0f} events/s, "
-        f"daemon at {relayed.cpu_s / relayed.seconds:.2f} cores, "
-        f"{relayed.events / relayed.cpu_s:.0f} events per second of a core, "
-        f"{relayed.broken} broken"
+        f"{result.streams} streams: {result.events / result.seconds:.0f} events/s, "
+        f"daemon at {result.cpu_s / result.seconds:.2f} cores, "
+        f"{result.events / result.cpu_s:.0f} events per second of a core, "
+        f"{result.broken} broken"
     )
-    return relayed.broken
+    return result.broken
 
 
 def _stream_until(
@@ -168,9 +168,9 @@
         seen, tail = 0, b""
         response = sent.unwrap()
         while part := response.read_available():
-            seen += part.count(CHUNK_MARK)
-            tail = (tail + part)[-len(END_MARK) :]
-        broken += seen != STREAM_TOKENS or tail != END_MARK
+            seen += part.count(CHUNK_MARKER)
+            tail = (tail + part)[-len(END_MARKER) :]
+        broken += seen != STREAM_TOKENS or tail != END_MARKER
         events += seen
     return events, broken
 
@@ -181,7 +181,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def _described(seen: list[Seen]) -> str:
+def _summary(seen: list[Seen]) -> str:
     whole = sum(item.whole for item in seen)
     quantiles = ", ".join(f"p{q * 100:.0f} {_quantile(seen, q):.2f} ms" for q in (0.5, 0.99))
     return f"{quantiles}, whole {whole} of {len(seen)}"
--- a/tools/slopes/claims.py
+++ b/tools/slopes/claims.py
@@ -13,10 +13,10 @@
     Partition,
     key_hash,
 )
-from tools.slopes.fit import Point, Slope, cpu_s, fit, held_bytes
+from tools.slopes.fit import Point, Slope, cpu_s, fit, retained_bytes
 
 CLAIMER = "10.2.0.17:8081"
-BATCH = 8
+CLAIMS_PER_BATCH = 8
 
 
 def measure() -> Iterator[Slope]:
@@ -31,8 +31,8 @@
 
 def _records(count: int) -> list[bytes]:
     records: list[bytes] = []
-    for start in range(0, count, BATCH):
-        numbers = range(start, min(count, start + BATCH))
+    for start in range(0, count, CLAIMS_PER_BATCH):
+        numbers = range(start, min(count, start + CLAIMS_PER_BATCH))
         claims = tuple(Claim(_key(n), CLAIMER, _attempt(n)) for n in numbers)
         finishes = tuple(
             Finish(
@@ -62,7 +62,7 @@
 
 def _memory(count: int) -> Point:
     records = _records(count)
-    return Point(count, held_bytes(lambda: _fold(records)))
+    return Point(count, retained_bytes(lambda: _fold(records)))
 
 
 def _fold_cpu(count: int) -> Point:
--- a/tools/slopes/fit.py
+++ b/tools/slopes/fit.py
@@ -81,14 +81,14 @@
     return best
 
 
-def held_bytes(make: Callable[[], object]) -> int:
+def retained_bytes(build: Callable[[], object]) -> int:
     """Return the bytes that an object and what it refers to keep allocated."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    held = make()
+    retained = build()
     gc.collect()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del held
+    del retained
     return after - before
--- a/tools/slopes/home.py
+++ b/tools/slopes/home.py
@@ -13,14 +13,14 @@
 from agaterail.peers.memory import MemoryNetwork, MemoryTransport
 from standins.base import Call
 from standins.engine import EngineConfig, EngineStandIn
-from tools.slopes.fit import Point, Slope, cpu_s, fit, held_bytes
+from tools.slopes.fit import Point, Slope, cpu_s, fit, retained_bytes
 
 INCARNATION = "0123456789ab"
 KEYS_PER_EVENT = 1
 QUERY_ENGINES = 2
 
 
-def key_of(number: int) -> bytes:
+def block_key(number: int) -> bytes:
     """Return a block key as engines name it."""
     return blake2b(number.to_bytes(8, "big"), digest_size=16).digest()
 
@@ -41,10 +41,10 @@
     yield fit("home.query_bytes", "bytes", "key", [_query_bytes(n) for n in (4, 8, 16)])
 
 
-def _filled(keys: list[bytes]) -> EngineIndex:
+def _filled_index(keys: list[bytes]) -> EngineIndex:
     index = EngineIndex(0.0)
     index.on_events(CacheEvents(INCARNATION, [], 0), 0, 0.0)
-    batches = itertools.batched(keys, 100) if hasattr(itertools, "batched") else _cut(keys)
+    batches = itertools.batched(keys, 100) if hasattr(itertools, "batched") else _batched(keys)
     for sequence, batch in enumerate(batches, 1):
         event = CacheEvent(sequence, CacheEventKind.STORED, tuple(batch))
         index.on_events(
@@ -53,27 +53,27 @@
     return index
 
 
-def _cut(keys: list[bytes]) -> Iterator[list[bytes]]:
+def _batched(keys: list[bytes]) -> Iterator[list[bytes]]:
     for start in range(0, len(keys), 100):
         yield keys[start : start + 100]
 
 
 def _memory(count: int) -> Point:
-    keys = [key_of(number) for number in range(count)]
-    return Point(count, held_bytes(lambda: _filled(keys)))
+    keys = [block_key(number) for number in range(count)]
+    return Point(count, retained_bytes(lambda: _filled_index(keys)))
 
 
 def _events_cpu(count: int) -> Point:
     # A cache in steady state: each new block evicts an old one.
-    keys = [key_of(number) for number in range(count)]
-    index = _filled(keys[: count // 2])
+    keys = [block_key(number) for number in range(count)]
+    index = _filled_index(keys[: count // 2])
     first = index.sequence + 1
     events: list[CacheEvent] = []
-    for place in range(count // 2):
-        number = first + 2 * place
-        stored = (keys[count // 2 + place],)
+    for position in range(count // 2):
+        number = first + 2 * position
+        stored = (keys[count // 2 + position],)
         events.append(CacheEvent(number, CacheEventKind.STORED, stored))
-        events.append(CacheEvent(number + 1, CacheEventKind.EVICTED, (keys[place],)))
+        events.append(CacheEvent(number + 1, CacheEventKind.EVICTED, (keys[position],)))
     batches = [
         CacheEvents(
             INCARNATION, events[start : start + 100], events[start : start + 100][-1].sequence
@@ -91,7 +91,7 @@
 def _event_bytes(count: int) -> Point:
     engine = EngineStandIn(EngineConfig(capacity_blocks=10 * count))
     for number in range(count):
-        engine.cache.store((key_of(number),))
+        engine.cache.store((block_key(number),))
     return Point(count, _answer_bytes(engine, "0", "0"))
 
 
@@ -108,15 +108,15 @@
     return len(body)
 
 
-def _pair() -> tuple[Peers, Peers]:
+def _connected_peers() -> tuple[Peers, Peers]:
     network = MemoryNetwork()
-    made: list[Peers] = []
+    connected: list[Peers] = []
     for address in ("10.0.0.1:1", "10.0.0.2:1"):
         transports = [MemoryTransport(network, address) for _ in range(2)]
         peers = Peers(address, transports[0], transports[1], "secret")
         peers.start()
-        made.append(peers)
-    return made[0], made[1]
+        connected.append(peers)
+    return connected[0], connected[1]
 
 
 def _query(keys: int) -> CandidateQuery:
@@ -124,11 +124,11 @@
     return CandidateQuery(engines=engines, keys=bytes(8 * keys))
 
 
-def _answer(query: CandidateQuery) -> CandidateAnswer:
-    return CandidateAnswer(tuple(view_of(engine) for engine in query.engines))
+def _candidate_answer(query: CandidateQuery) -> CandidateAnswer:
+    return CandidateAnswer(tuple(candidate_state(engine) for engine in query.engines))
 
 
-def view_of(engine: str) -> CandidateState:
+def candidate_state(engine: str) -> CandidateState:
     """Return what a home might answer of an engine."""
     return CandidateState(
         engine=engine,
@@ -144,18 +144,18 @@
 
 
 def _query_cpu(count: int) -> Point:
-    asker, home = _pair()
-    home.handle(CandidateQuery, lambda _sender, query: _answer(query))
+    requester, home = _connected_peers()
+    home.handle(CandidateQuery, lambda _sender, query: _candidate_answer(query))
 
-    def ask() -> None:
+    def run_queries() -> None:
         for _ in range(count):
-            asker.query(home.own_address, _query(8), 1.0)
+            requester.query(home.own_address, _query(8), 1.0)
 
-    return Point(count, cpu_s(ask))
+    return Point(count, cpu_s(run_queries))
 
 
 def _query_bytes(keys: int) -> Point:
-    asker, home = _pair()
-    home.handle(CandidateQuery, lambda _sender, query: _answer(query))
-    asker.query(home.own_address, _query(keys), 1.0)
-    return Point(keys, asker.sent_bytes + home.sent_bytes)
+    requester, home = _connected_peers()
+    home.handle(CandidateQuery, lambda _sender, query: _candidate_answer(query))
+    requester.query(home.own_address, _query(keys), 1.0)
+    return Point(keys, requester.sent_bytes + home.sent_bytes)
--- a/tools/slopes/idle.py
+++ b/tools/slopes/idle.py
@@ -25,20 +25,20 @@
 from standins.log import LogStandIn
 from tools.fleet import Fleet, free_port_base, wait_for
 from tools.slopes.fit import Point, Slope, fit
-from tools.slopes.home import key_of
-from tools.slopes.receiver import pool_of
-from tools.slopes.state import tables_of
+from tools.slopes.home import block_key
+from tools.slopes.receiver import engine_pool
+from tools.slopes.state import make_tables
 
 MEMBERS = 410
 ENGINES = 600
-ROUTES_AN_EDIT = 2_000
+ROUTES_PER_EDIT = 2_000
 EVENTS_PER_S = 72
-OWN_ENGINES = 2
+HOME_ENGINES = 2
 SETTLE_S = 6.0
 MEASURE_S = 15.0
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-SIZES = (0, 6_000, 23_000)
+WORKSPACE_COUNTS = (0, 6_000, 23_000)
 
 
 @attrs.frozen
@@ -53,7 +53,7 @@
 
 def measure() -> Iterator[Slope]:
     """Measure the slopes of an idle daemon against the number of workspaces."""
-    used = {size: watch(size) for size in SIZES}
+    used = {size: measure_usage(size) for size in WORKSPACE_COUNTS}
     for size, usage in used.items():
         print(f"idle daemon, {size} workspaces: {usage}")
     for name, unit in (("cpu_percent", "%"), ("resident_mb", "MB"), ("bytes_per_s", "B/s")):
@@ -61,14 +61,16 @@
         yield fit(f"idle.{name}", unit, "workspace", points)
 
 
-def watch(workspaces: int) -> Usage:
+def measure_usage(workspaces: int) -> Usage:
     """Run one daemon on stand-ins of this process and watch it.
 
     With no workspaces there are no tables, members or engines either: the
     usage is that of the libraries.
     """
     log, hosts = LogStandIn(), HostsStandIn()
-    engines = [EngineStandIn(EngineConfig(capacity_blocks=57_000)) for _ in range(OWN_ENGINES)]
+    engines = [
+        EngineStandIn(EngineConfig(capacity_blocks=57_000)) for _ in range(HOME_ENGINES)
+    ]
     platform = [log, hosts, *engines]
     with Fleet(log_level="error") as fleet:
         fleet.log, fleet.hosts = log.start(), hosts.start()
@@ -77,33 +79,33 @@
         own_peer = f"127.0.0.1:{fleet.port + 1}"
         addresses = [
             engine.start(host, port)
-            for engine, (host, port) in zip(engines, _own_places(own_peer), strict=False)
+            for engine, (host, port) in zip(engines, _home_endpoints(own_peer), strict=False)
         ]
         if workspaces:
             _put_hosts(hosts, own_peer, addresses)
-            _append_tables(fleet.log, workspaces, _home_engines(own_peer, addresses))
+            _append_tables(fleet.log, workspaces, _pool_targets(own_peer, addresses))
         daemon = fleet.start_daemon(address=own)
         wait_for(daemon.address, "/readyz" if workspaces else "/healthz", 60.0)
-        feeding = [gevent.spawn(_feed, engine) for engine in engines]
+        emitters = [gevent.spawn(_emit_events, engine) for engine in engines]
         gevent.sleep(SETTLE_S)
-        usage = _watch(daemon.process.pid, platform)
-        gevent.killall(feeding)
+        usage = _measure_process(daemon.process.pid, platform)
+        gevent.killall(emitters)
     for stand_in in platform:
         stand_in.stop()
     return usage
 
 
-def _feed(engine: EngineStandIn) -> None:
+def _emit_events(engine: EngineStandIn) -> None:
     number = 0
-    engine.cache.store(tuple(key_of(id(engine) + place) for place in range(57_000)))
+    engine.cache.store(tuple(block_key(id(engine) + position) for position in range(57_000)))
     while True:
         for _ in range(EVENTS_PER_S // 20):
             number += 1
-            engine.cache.store((key_of(number),))
+            engine.cache.store((block_key(number),))
         gevent.sleep(0.1)
 
 
-def _watch(pid: int, platform: list) -> Usage:
+def _measure_process(pid: int, platform: list) -> Usage:
     before = _cpu_s(pid), _traffic(platform), time.monotonic()
     gevent.sleep(MEASURE_S)
     seconds = time.monotonic() - before[2]
@@ -137,7 +139,7 @@
 def _put_hosts(hosts: HostsStandIn, own_peer: str, engines: list[str]) -> None:
     lines = [
         {"address": address, "role": "engine", "state": "live", "domain": "a"}
-        for address in [*engines, *(entry.address for entry in pool_of(ENGINES).targets)]
+        for address in [*engines, *(entry.address for entry in engine_pool(ENGINES).targets)]
     ]
     for address in _members(own_peer):
         lines.append({"address": address, "role": "router", "state": "live", "domain": "a"})
@@ -149,7 +151,7 @@
     return [own_peer, *others]
 
 
-def _own_places(own_peer: str) -> Iterator[tuple[str, int]]:
+def _home_endpoints(own_peer: str) -> Iterator[tuple[str, int]]:
     """Yield loopback places of engines whose home is the watched daemon."""
     homes = HomeMap(own_peer)
     homes.set_members(_members(own_peer))
@@ -160,13 +162,13 @@
             yield host, port
 
 
-def _home_engines(own_peer: str, addresses: list[str]) -> tuple[TargetEntry, ...]:
+def _pool_targets(own_peer: str, addresses: list[str]) -> tuple[TargetEntry, ...]:
     # Only engines whose home is another member are taken from the made-up
     # ones: the daemon would call those that were its own.
     homes = HomeMap(own_peer)
     homes.set_members(_members(own_peer))
     foreign = [
-        entry for entry in pool_of(ENGINES + 40).targets if not homes.is_own(entry.address)
+        entry for entry in engine_pool(ENGINES + 40).targets if not homes.is_own(entry.address)
     ]
     real = tuple(TargetEntry(address=address, domain="a") for address in addresses)
     return (*real, *foreign[: ENGINES - len(real)])
@@ -174,12 +176,12 @@
 
 def _append_tables(log: str, workspaces: int, targets: tuple[TargetEntry, ...]) -> None:
     store = HttpLogStore(Address.parse(log))
-    tables = tables_of(workspaces)
+    tables = make_tables(workspaces)
     pool: Pool = attrs.evolve(tables.pools["p"].row, targets=targets)
     first = Change(table=TableName.POOLS, name="p", action=Action.PUT, pool=pool)
-    routes = [held.row for held in tables.routes.values()]
-    for start in range(0, len(routes), ROUTES_AN_EDIT):
-        changes = tuple(_put(route) for route in routes[start : start + ROUTES_AN_EDIT])
+    routes = [versioned.row for versioned in tables.routes.values()]
+    for start in range(0, len(routes), ROUTES_PER_EDIT):
+        changes = tuple(_put(route) for route in routes[start : start + ROUTES_PER_EDIT])
         edit = Edit(
             edit_id=f"e{start}",
             author="slopes",
--- a/tools/slopes/state.py
+++ b/tools/slopes/state.py
@@ -21,8 +21,8 @@
 from agaterail.timers import ManualTimerService
 from agaterail.util.address import Address
 from tools.fleet import digest_of
-from tools.slopes.fit import Point, Slope, cpu_s, fit, held_bytes
-from tools.slopes.receiver import pool_of
+from tools.slopes.fit import Point, Slope, cpu_s, fit, retained_bytes
+from tools.slopes.receiver import engine_pool
 
 ROWS = 23_000
 ENGINES = 600
@@ -40,15 +40,15 @@
     yield fit("snapshot.bytes", "bytes", "route", [_snapshot_bytes(n) for n in rows])
     yield fit("snapshot.cpu", "s", "route", [_snapshot_cpu(n) for n in rows])
     hosts = (100, 400, 1_010)
-    yield fit("hosts.list_bytes", "bytes", "host", [_list_bytes(n) for n in hosts])
-    yield fit("hosts.parse_cpu", "s", "host", [_list_cpu(n) for n in hosts])
+    yield fit("hosts.list_bytes", "bytes", "host", [_host_list_bytes(n) for n in hosts])
+    yield fit("hosts.parse_cpu", "s", "host", [_host_list_cpu(n) for n in hosts])
     yield fit("members.change_cpu", "s", "member", [_member_cpu(n) for n in (64, 200, 410)])
     yield fit("lease.log_reads", "reads", "daemon", [_lease_reads(n) for n in (8, 16, 32)])
 
 
-def tables_of(rows: int) -> Tables:
+def make_tables(rows: int) -> Tables:
     """Return tables with one engine pool and so many routes, one a workspace."""
-    pool = pool_of(ENGINES)
+    pool = engine_pool(ENGINES)
     routes = {f"route-{n}": Versioned(_route(n), n, "shift-a") for n in range(rows)}
     pools: dict[str, Versioned[Pool]] = {pool.name: Versioned(pool, 0, "shift-a")}
     return Tables(routes, pools, {}, rows)
@@ -65,26 +65,26 @@
     )
 
 
-def _decoded(data: bytes) -> Tables:
+def _decode(data: bytes) -> Tables:
     return codec.decode(data, Tables).unwrap()
 
 
 def _table_memory(rows: int) -> Point:
-    data = codec.encode(tables_of(rows))
-    return Point(rows, held_bytes(lambda: _decoded(data)))
+    data = codec.encode(make_tables(rows))
+    return Point(rows, retained_bytes(lambda: _decode(data)))
 
 
 def _index_memory(rows: int) -> Point:
-    tables = tables_of(rows)
-    return Point(rows, held_bytes(lambda: _indexed(tables)))
+    tables = make_tables(rows)
+    return Point(rows, retained_bytes(lambda: _build_caller_index(tables)))
 
 
 def _index_cpu(rows: int) -> Point:
-    tables = tables_of(rows)
-    return Point(rows, cpu_s(lambda: _indexed(tables)))
+    tables = make_tables(rows)
+    return Point(rows, cpu_s(lambda: _build_caller_index(tables)))
 
 
-def _indexed(tables: Tables) -> CallerIndex:
+def _build_caller_index(tables: Tables) -> CallerIndex:
     index = CallerIndex()
     index.routes_of(tables, "")
     return index
@@ -107,7 +107,7 @@
 
 def _fold_cpu(count: int) -> Point:
     records = [codec.encode(edit, TablesRecord) for edit in _edits(count)]
-    start = tables_of(ROWS)
+    start = make_tables(ROWS)
 
     def run() -> None:
         tables = start
@@ -124,11 +124,11 @@
 
 
 def _snapshot_bytes(rows: int) -> Point:
-    return Point(rows, snapshots.encode(tables_of(rows)).size)
+    return Point(rows, snapshots.encode(make_tables(rows)).size)
 
 
 def _snapshot_cpu(rows: int) -> Point:
-    tables = tables_of(rows)
+    tables = make_tables(rows)
     return Point(rows, cpu_s(lambda: snapshots.encode(tables), repeat=2))
 
 
@@ -144,11 +144,11 @@
     ]
 
 
-def _list_bytes(count: int) -> Point:
+def _host_list_bytes(count: int) -> Point:
     return Point(count, len(json.dumps({"hosts": _host_lines(count)})))
 
 
-def _list_cpu(count: int) -> Point:
+def _host_list_cpu(count: int) -> Point:
     data = json.dumps({"hosts": _host_lines(count)})
     return Point(
         count, cpu_s(lambda: tuple(_host_of(line) for line in json.loads(data)["hosts"]))
@@ -158,7 +158,7 @@
 def _member_cpu(count: int) -> Point:
     members = [f"10.2.{n // 250}.{n % 250 + 1}:8081" for n in range(count)]
     homes = HomeMap(members[0])
-    homes.set_engines([entry.address for entry in pool_of(ENGINES).targets])
+    homes.set_engines([entry.address for entry in engine_pool(ENGINES).targets])
     homes.set_members(members)
 
     def change() -> None:
