--- a/tests/test_tools/test_bench.py
+++ b/tests/test_tools/test_bench.py
@@ -44,8 +44,9 @@
         self.assertEqual(wasted_tokens(before, [counts(a=1), counts(b=1)], 64), 0)
 
     def test_recomputation_on_any_engine_is_waste(self):
-        # Engine 1 computes "a" in the warm-up. In the run engine 1 computes it
-        # again after an eviction, engine 2 beside it, and engine 2 "b" twice.
+        # Engine 1 computes "a" in the warm-up. In the run, engine 1 computes it
+        # again after an eviction, engine 2 computes it too, and engine 2 computes
+        # "b" twice. Only the first computation of "b" is not waste.
         before = [counts(a=1), counts()]
         after = [counts(a=2), counts(a=1, b=2)]
         self.assertEqual(wasted_tokens(before, after, 64), 3 * 64)
--- a/tests/test_tools/test_build_binary.py
+++ b/tests/test_tools/test_build_binary.py
@@ -40,9 +40,9 @@
         self.log.stop()
 
     def test_serves_as_one_process_without_environment_or_files(self):
-        # The hosts have no disks and a process must not start another one. A
-        # packer that unpacks itself or runs its program as a child shows here
-        # as files, as a second process, or as a failure to start.
+        # Hosts have no disk, and a process must not start another one. A packer
+        # that unpacks itself or runs the program as a child process would leave
+        # files, show a second process, or fail to start here.
         listen, peer = (f"127.0.0.1:{free_port()}" for _ in range(2))
         flags = ["--listen", listen, "--peer-listen", peer, "--drain-lag-s", "0"]
         command = [self.binary, "serve", "--log-service", self.log_address, *flags]
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,3 +1,3 @@
-"""Programs for developers: demo, measurements, test runner and build."""
+"""Developer tools: demo, measurements, test runner and build."""
 
 from __future__ import annotations
--- a/tools/bench/__main__.py
+++ b/tools/bench/__main__.py
@@ -29,7 +29,7 @@
 
 
 def main() -> None:
-    """Measure every cell, at most one fleet for each workload at a time."""
+    """Run the selected cells, with one fleet per workload at a time."""
     if sys.argv[1:2] == [ONE_CELL_FLAG]:
         _measure_one_cell(sys.argv[2])
         return
@@ -48,15 +48,23 @@
     parser = argparse.ArgumentParser(prog="tools.bench", description=__doc__)
     parser.add_argument("--workloads", nargs="+", choices=names, default=names)
     parser.add_argument("--cells", nargs="+", choices=list(cells.GROUPS), default=["policies"])
-    parser.add_argument("--only", nargs="+", default=[], help="names of cells")
+    parser.add_argument(
+        "--only", nargs="+", default=[], help="run only the cells with these names"
+    )
     parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS)
     parser.add_argument("--seeds", type=int, nargs="+", default=[DEFAULT_SEED])
     parser.add_argument(
-        "--slot", type=int, default=0, help="number that sets two runs at a time apart"
+        "--slot",
+        type=int,
+        default=0,
+        help="offset of the loopback addresses, of which each workload uses one",
     )
-    parser.add_argument("--save", help="file that the figures are added to")
+    parser.add_argument("--save", help="append the figures to this file as JSON lines")
     parser.add_argument(
-        "--report", nargs="+", default=[], help="print saved figures, measure nothing"
+        "--report",
+        nargs="+",
+        default=[],
+        help="print figures from these files and measure nothing",
     )
     return parser.parse_args()
 
@@ -85,7 +93,8 @@
 
 
 def _measure_in_subprocess(cell: Cell) -> Figures:
-    # In a process of its own, so that the load generators do not share one.
+    # One process per cell, so that the load generators of parallel workloads do not
+    # compete for one interpreter.
     fields = json.dumps(attrs.asdict(cell))
     completed = subprocess.run(
         [sys.executable, "-m", "tools.bench", ONE_CELL_FLAG, fields],
--- a/tools/bench/cell.py
+++ b/tools/bench/cell.py
@@ -1,4 +1,4 @@
-"""One cell of the measurements: a fleet, one policy, one workload, one fault."""
+"""One benchmark cell: a policy, a workload and a fault on a fleet of its own."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 DAEMONS = 3
 CAPACITY_BLOCKS = 60
 PREFILL_MS_PER_TOKEN = BLOCK_PREFILL_MS / BLOCK_TOKENS
-# A fifth of the prefill of a block, as for about 300 MB over a fast network.
+# One fifth of the prefill time of a block, as for about 300 MB over a fast network.
 TRANSFER_MS_PER_BLOCK = 10.0
 MAX_TOKENS = 8
 EVENT_DELAY_MS = 100
@@ -54,6 +54,7 @@
 ANSWER_MARGIN_S = 5.0
 BALANCER_LAG_S = 0.5
 DRAIN_LAG_S = 1.0
+# Hashing depends on the addresses, so they are the same in each run.
 FIRST_PORT = 7400
 ORACLE = "oracle"
 PROBE_EXTENSION = "tools.bench.probe"
@@ -65,18 +66,18 @@
 
 @attrs.frozen(kw_only=True)
 class Cell:
-    """What is measured.
+    """Parameters of one measurement.
 
     Attributes
     ----------
     fault
-        Name in ``FAULTS``.
+        Key in ``FAULTS``.
     pool, route
-        Fields of the table rows that differ from the usual ones.
+        Fields of the pool and of the route that override the defaults.
     tune
-        Changes to the ``cost`` policy, see ``tools.bench.tune``.
+        Attributes of ``tools.bench.tune.Tuning``, which changes the ``cost`` policy.
     slot
-        Number that sets the addresses apart from those of other fleets.
+        Number that separates the addresses from those of concurrent fleets.
     """
 
     workload: str
@@ -92,14 +93,14 @@
 
     @property
     def name(self) -> str:
-        """Return the name of the cell in the tables."""
+        """Return the name of the cell in reports and for ``--only``."""
         if self.label:
             return self.label
         return self.policy if self.fault == "none" else f"{self.policy}, {self.fault}"
 
 
 class Runner:
-    """Brings a fleet up, sends the trace and takes the figures."""
+    """Starts a fleet, sends the trace and collects the figures."""
 
     def __init__(self, cell: Cell, fleet: Fleet) -> None:
         self.cell = cell
@@ -110,7 +111,7 @@
         self.lateness_ms: list[float] = []
 
     def run(self) -> Figures:
-        """Measure the cell."""
+        """Run the trace, with a fault at half time, and return the figures."""
         self._start()
         trace = Trace(self.profile, self.cell.seed)
         self._warm_up(trace)
@@ -150,7 +151,7 @@
 
     @property
     def flags(self) -> list[str]:
-        """Return the flags of every daemon."""
+        """Return the command-line flags of the daemons."""
         names = [PROBE_EXTENSION]
         if self.cell.tune:
             names.append(TUNE_EXTENSION)
@@ -283,7 +284,7 @@
 def _control_cost(
     before: Sequence[DaemonCounts], after: Sequence[DaemonCounts], seconds: float
 ) -> dict[str, float]:
-    # Counts of a daemon that was restarted begin anew and are left out.
+    # The counters of a restarted daemon start again at zero, so it is excluded.
     pairs = [(old, new) for old, new in zip(before, after, strict=True) if old.pid == new.pid]
     count = max(1, len(pairs))
     return {
@@ -361,8 +362,8 @@
     for daemon in old:
         daemon.process.send_signal(signal_number)
     if signal_number == signal.SIGTERM:
-        # The platform's balancer sends new connections until it has seen the
-        # readiness check fail.
+        # The platform's load balancer keeps sending new connections until it sees
+        # the readiness check fail.
         gevent.sleep(BALANCER_LAG_S)
         runner.out_of_rotation.update(daemon.address for daemon in old)
     for daemon in old:
@@ -377,6 +378,7 @@
     runner.out_of_rotation.difference_update(daemon.address for daemon in old)
 
 
+# What happens at half time. The persistent faults begin after the warm-up instead.
 FAULTS: Mapping[str, Callable[[Runner], None]] = {
     "none": _no_fault,
     "crash": _crash_engine,
--- a/tools/bench/cells.py
+++ b/tools/bench/cells.py
@@ -1,4 +1,4 @@
-"""The groups of cells that can be measured."""
+"""Groups of cells that can be selected with ``--cells``."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 POLICIES = (
     "random", "round_robin", "least_in_flight", "pure_hash", "bounded_load", "cost", ORACLE,
 )  # fmt: skip
-# The baselines look at no report of an engine, so only these faults reach them.
+# The baselines use no reports of engines, so only these faults affect them.
 BASELINES = ("pure_hash", "bounded_load")
 BASELINE_FAULTS = ("crash", "log_down", "rolling_restart", "restart_all")
 MISS_WEIGHTS = (1.0, 2.0, 3.0, 5.0, 8.0)
@@ -34,7 +34,7 @@
 
 
 def faults(make_cell: CellFactory) -> Iterator[Cell]:
-    """Yield ``cost`` under every fault, and the baselines where it matters."""
+    """Yield ``cost`` with each fault, and the baselines with those that affect them."""
     for fault in STORE_FAULTS:
         label = f"with KV transfers, {fault}"
         yield make_cell(policy="cost", fault=fault, pool=WITH_TRANSFERS, label=label)
@@ -48,7 +48,7 @@
 
 
 def sweep(make_cell: CellFactory) -> Iterator[Cell]:
-    """Yield ``cost`` with other weights, candidate counts and query deadlines."""
+    """Yield ``cost`` with several miss weights, candidate counts and query deadlines."""
     for weight in MISS_WEIGHTS:
         label = f"miss weight {weight:g}"
         yield make_cell(policy="cost", route={"miss_weight": weight}, label=label)
@@ -60,7 +60,7 @@
 
 
 def ablations(make_cell: CellFactory) -> Iterator[Cell]:
-    """Yield ``cost`` whole, with KV transfers, and without one mechanism at a time."""
+    """Yield ``cost`` as it is, with KV transfers, and with one mechanism disabled."""
     yield make_cell(policy="cost")
     yield make_cell(policy="cost", pool=WITH_TRANSFERS, label="with KV transfers")
     for label, tuning in ABLATIONS.items():
@@ -76,6 +76,6 @@
 
 
 def select(make_cell: CellFactory, groups: Sequence[str], names: Sequence[str]) -> list[Cell]:
-    """Return the cells of some groups, or of these only the named ones."""
+    """Return the cells of the groups; if there are names, only the named ones."""
     selected = [cell for group in groups for cell in GROUPS[group](make_cell)]
     return [cell for cell in selected if not names or cell.name in names]
--- a/tools/bench/figures.py
+++ b/tools/bench/figures.py
@@ -1,4 +1,4 @@
-"""Arithmetic of the measurements."""
+"""Figures of the cells and how they are computed."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @attrs.frozen(kw_only=True)
 class EngineCounts:
-    """Counts of one engine since it started.
+    """Counters of one engine since its start.
 
     Attributes
     ----------
     blocks
-        How often each block was computed, by key.
+        Number of computations of each block, by block key.
     """
 
     prompt_tokens: int
@@ -30,7 +30,7 @@
 
 @attrs.frozen(kw_only=True)
 class DaemonCounts:
-    """Counts of one daemon process since it started."""
+    """Counters of one daemon process since its start, and its resident memory."""
 
     pid: int
     cpu_s: float
@@ -41,27 +41,28 @@
 
 @attrs.frozen(kw_only=True)
 class Figures:
-    """Figures of one cell.
+    """Results of one cell.
 
     Attributes
     ----------
     wasted_tokens
-        Tokens of full blocks that were computed again: some engine, this one
-        or another, had computed the same block earlier in the run, the
-        warm-up included. The first computation of a block is not waste.
+        Tokens of full blocks that were computed although the same or another
+        engine had already computed the block in the run or its warm-up. The
+        first computation of a block is not waste.
     first_token_ms
-        Times to the first token, sorted; a request without a whole answer
-        counts with its deadline.
+        Sorted times to the first token. A request without a complete answer
+        counts with its deadline, so that a policy gains nothing by refusing.
     late_hit_rate
-        Hit rate of whole answers to requests of the last quarter; a fault at
-        half time is then a quarter of the run ago.
+        Hit rate of complete answers to requests of the last quarter of the run,
+        which begins a quarter of the run after a fault at half time.
     busiest, mean_busy
-        Share of the time for which the busiest and the average engine
-        prefilled.
+        Prefill time of the busiest and of the average engine, as a share of
+        the run.
     late_ms
-        Lateness of the load generator at the 99th percentile and at most.
+        Lateness of the load generator: 99th percentile and maximum.
     sent_bytes_per_s, cpu_s, rss_mb
-        Per daemon: mean bytes sent to peers, mean processor time, most memory.
+        Per daemon: mean bytes per second sent to peers, mean processor time,
+        highest resident memory.
     """
 
     requests: int
@@ -98,9 +99,10 @@
 
 
 def pooled(results: Sequence[Figures]) -> Figures:
-    """Return one set of figures for several seeds of a cell.
+    """Return the combined figures of several seeds of one cell.
 
-    Times to the first token are pooled, counts added up, rates averaged.
+    Times to the first token are pooled, counts summed, rates averaged, and of
+    each maximum the highest is kept.
     """
     count = len(results)
     return Figures(
@@ -127,14 +129,14 @@
 
 
 def percentile(ordered: Sequence[float], fraction: float) -> float:
-    """Return the nearest-rank percentile of sorted values; 0 without any."""
+    """Return the nearest-rank percentile of sorted values, or 0 if there are none."""
     if not ordered:
         return 0.0
     return ordered[max(0, math.ceil(len(ordered) * fraction) - 1)]
 
 
 def hit_rate(before: Sequence[EngineCounts], after: Sequence[EngineCounts]) -> float:
-    """Return cached over prompt tokens between two snapshots of all engines."""
+    """Return the share of prompt tokens that were cached between two snapshots."""
     prompt = sum(item.prompt_tokens for item in after) - sum(
         item.prompt_tokens for item in before
     )
@@ -147,7 +149,7 @@
 def wasted_tokens(
     before: Sequence[EngineCounts], after: Sequence[EngineCounts], block_tokens: int
 ) -> int:
-    """Return the tokens of blocks computed again between two snapshots."""
+    """Return the tokens of blocks that were recomputed between two snapshots."""
     computed = _computation_count(after) - _computation_count(before)
     new = _block_keys(after) - _block_keys(before)
     return (computed - len(new)) * block_tokens
--- a/tools/bench/probe.py
+++ b/tools/bench/probe.py
@@ -1,4 +1,4 @@
-"""Extension of the daemon that answers what its peers' traffic was."""
+"""Daemon extension that reports over HTTP how much was sent to the peers."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @attrs.frozen
 class Traffic:
-    """What one daemon sent to its peers since it started."""
+    """Bytes and messages that a daemon has sent to its peers since its start."""
 
     sent_bytes: int = 0
     sent_messages: int = 0
 
 
 class ProbeFilter(Filter):
-    """Outermost filter: answers one path and leaves all others alone."""
+    """Outermost filter, which answers ``PROBE_PATH`` and passes on all other requests."""
 
     order = 0
 
@@ -37,7 +37,7 @@
         self.app = app
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Answer the probe or proceed."""
+        """Answer ``PROBE_PATH`` with the traffic, or proceed."""
         if exchange.path != PROBE_PATH:
             return proceed(exchange)
         peers = self.app.peers
--- a/tools/bench/report.py
+++ b/tools/bench/report.py
@@ -1,4 +1,4 @@
-"""Tables of the figures, in Markdown."""
+"""Markdown tables of the figures."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def merge_seeds(measured: Sequence[CellResult]) -> list[CellResult]:
-    """Return each cell once, with the figures of all its seeds."""
+    """Return each cell once, with the combined figures of its seeds."""
     groups: dict[tuple[str, str], list[CellResult]] = {}
     for cell, result in measured:
         groups.setdefault((cell.workload, cell.name), []).append((cell, result))
@@ -29,14 +29,14 @@
 
 
 def outcome_table(measured: Sequence[CellResult]) -> str:
-    """Return what callers and engines saw, one cell a line."""
+    """Return a table of cache hits, latency and engine load, one row per cell."""
     by_cell_name = {cell.name: result for cell, result in measured}
     rows = [_outcome_row(cell, result, by_cell_name) for cell, result in measured]
     return _markdown_table(OUTCOME_COLUMNS, rows)
 
 
 def control_table(measured: Sequence[CellResult]) -> str:
-    """Return what control cost per daemon, and the generator's lateness."""
+    """Return a table of the control overhead per daemon and the generator's lateness."""
     rows = [
         (
             cell.name,
@@ -52,7 +52,7 @@
 
 
 def error_lines(measured: Sequence[CellResult]) -> str:
-    """Return the refusals and failures by kind, one cell a line."""
+    """Return the counts of refusals and failures by kind, one line per cell."""
     lines = []
     for cell, result in measured:
         kinds = ", ".join(f"{kind} {count}" for kind, count in sorted(result.errors.items()))
--- a/tools/bench/tune.py
+++ b/tools/bench/tune.py
@@ -1,7 +1,7 @@
-"""Extension of the daemon that changes or takes out one mechanism of ``cost``.
+"""Daemon extension that changes or disables mechanisms of the ``cost`` policy.
 
-The variable ``BENCH_TUNE`` holds the changes as a JSON object; its names are
-the attributes of ``Tuning``.
+The environment variable ``BENCH_TUNE`` holds a JSON object whose keys are
+attributes of ``Tuning``.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
     Attributes
     ----------
     candidates
-        Candidates by rendezvous order.
+        Number of candidates that are taken in hash order.
     query_timeout_ms
-        Deadline of the question to the homes; 0 asks none.
+        Timeout of the candidate query to the homes; 0 disables the query.
     predict
-        Whether dispatches insert expected blocks.
+        Whether a dispatch adds predicted blocks to the engine index.
     count_dispatches
-        Whether dispatches since the load report are added to it.
+        Whether dispatches since the last load report are added to its load.
     widen
         Whether hot prefixes get more candidates.
     """
@@ -48,7 +48,7 @@
 
 
 def setup(app: Application) -> None:
-    """Apply the changes of the environment."""
+    """Apply the changes from the environment."""
     tuning = Tuning(**json.loads(os.environ.get(TUNING_VARIABLE, "{}")))
     policy = app.policies["cost"]
     assert isinstance(policy, CostPolicy)
--- a/tools/bench/workloads.py
+++ b/tools/bench/workloads.py
@@ -1,4 +1,4 @@
-"""Seeded traces of arrivals: the same trace is sent under every policy."""
+"""Seeded request traces, which are the same for each policy."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from standins.load import TOKEN_BYTES, Prompt
 
-# A block of 64 tokens stands for one of about 2,000: prompts stay small enough
-# for a generator in Python, while a block costs as much prefill as 1,000 to
-# 2,000 real tokens.
+# A block of 64 tokens stands for one of about 2,000 tokens. Prompts stay small
+# enough for a load generator in Python, while the prefill of a block takes as
+# long as that of 1,000 to 2,000 real tokens.
 BLOCK_TOKENS = 64
 BLOCK_PREFILL_MS = 50.0
 WORKSPACES = 8
@@ -24,9 +24,10 @@
     Attributes
     ----------
     at_s
-        Second after the start of the trace at which it is sent.
+        Send time, in seconds after the start of the trace.
     daemon_selector
-        Number that selects the daemon, as the platform's balancer would.
+        Random number that selects the daemon, in place of the platform's load
+        balancer.
     """
 
     at_s: float
@@ -36,32 +37,36 @@
 
 @attrs.frozen(kw_only=True)
 class Profile:
-    """Shape of one workload.
+    """Parameters of one workload.
 
     Attributes
     ----------
     workspace_skew
-        Exponent of the Zipf-like sizes of the workspaces.
+        Exponent of the Zipf-like distribution of requests over the workspaces.
     prefix_skew
-        Exponent of the Zipf-like choice of a shared prefix in a workspace.
+        Exponent of the Zipf-like distribution of a workspace's requests over its
+        shared prefixes.
     prefixes
-        Shared prefixes (customer histories, tariffs) in each workspace.
+        Number of shared prefixes (customer histories, tariffs) per workspace.
     instruction_blocks, prefix_blocks
-        Least and most blocks of a workspace's instructions and of a prefix.
+        Minimum and maximum number of blocks of a workspace's instructions and
+        of a shared prefix.
     notes, note_tokens
-        Callers with a short text of their own after the prefix; 0 for none.
+        Number of callers per workspace with a short text of their own after the
+        prefix (0 for none), and the number of tokens of this text.
     question_tokens
-        Least and most tokens of a question; each question is asked once.
+        Minimum and maximum number of tokens of a question; each question is
+        asked once.
     rate_per_s
-        Arrivals per second in the first half.
+        Arrivals per second in the first half of the run.
     late_rate_per_s
-        Arrivals per second in the second half.
+        Arrivals per second in the second half of the run.
     shift
-        Ranks by which the hot prefixes move at half time.
+        Number of ranks by which the hot prefixes move at half time.
     deadline_ms
-        Deadline of the first token.
+        Deadline for the first token.
     miss_weight
-        The route's setting for the ``cost`` policy.
+        Miss weight of the route, for the ``cost`` policy.
     """
 
     name: str
@@ -112,7 +117,7 @@
 
 
 class Trace:
-    """Generator of one seeded trace; equal arguments give equal arrivals."""
+    """Generator of one seeded trace; the same calls give the same arrivals."""
 
     def __init__(self, profile: Profile, seed: int) -> None:
         self.profile = profile
@@ -123,13 +128,13 @@
         self.texts = [self._texts(workspace) for workspace in range(WORKSPACES)]
 
     def warm_up(self, count: int, rate_per_s: float) -> list[Arrival]:
-        """Return arrivals at a steady rate before the hot prefixes move."""
+        """Return arrivals at a constant rate, with the hot prefixes of the first half."""
         return list(
             self._poisson_arrivals(lambda _: rate_per_s, lambda _: 0, count / rate_per_s)
         )
 
     def arrivals(self, seconds: float) -> list[Arrival]:
-        """Return the measured arrivals; rate and hot set change at half time."""
+        """Return the measured arrivals; rate and hot prefixes change at half time."""
         half = seconds / 2
         profile = self.profile
         return list(
--- a/tools/bench_index.py
+++ b/tools/bench_index.py
@@ -1,4 +1,7 @@
-"""Measure the home index and a decision; prints ``name size value`` lines."""
+"""Measure the index of an engine home and the choice of a target.
+
+Prints lines of ``name size value``.
+"""
 
 from __future__ import annotations
 
@@ -88,7 +91,7 @@
 
 
 def _resident_bytes_per_key(size: int) -> float:
-    # Several at once, so that pages and arenas left over by others count little.
+    # Several copies, so that free pages and arenas of earlier objects matter little.
     copies = max(1, 400_000 // size)
     before = _resident_bytes()
     indexes = [_filled_index(size) for _ in range(copies)]
@@ -113,7 +116,7 @@
 def _churn_events_per_s(
     index: EngineIndex, keys: list[bytes], sequences: itertools.count, rng: random.Random
 ) -> float:
-    """Evict and store in turn, as a full cache does; return events a second."""
+    """Return the event rate of alternating evictions and stores, as in a full cache."""
     batches = []
     for _ in range(50):
         evicted = rng.sample(range(len(keys)), 100)
@@ -137,7 +140,7 @@
     started = time.process_time()
     _decide(policy, target_states, pool, route, prefixes[0], 0.0)
     if new_keys:
-        # Once for each change of the pool's targets, mostly for the ring.
+        # Paid once per change of the pool's targets, mostly to build the ring.
         _print("decision_first_ms", count, (time.process_time() - started) * 1e3)
     times: list[float] = []
     for number in range(DECISIONS):
--- a/tools/binary_main.py
+++ b/tools/binary_main.py
@@ -1,8 +1,8 @@
-"""Start agaterail from its single file; becomes ``__main__.py`` of the binary.
+"""Entry point of the binary, in which it is ``__main__.py``.
 
-Python imports from a ZIP file, but extension modules have to be files for the
-dynamic loader. Each one that is imported is copied to an anonymous file in
-memory, so nothing is unpacked and no directory has to be writable.
+Python can import modules from a ZIP file, but the dynamic loader needs extension
+modules as files. Each imported extension module is copied to an anonymous file
+in memory, so nothing is unpacked and no writable directory is needed.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ExtensionFinder(importlib.abc.MetaPathFinder):
-    """Finds the extension modules of a ZIP file."""
+    """Finder for the extension modules in a ZIP file."""
 
     def __init__(self, archive: zipfile.ZipFile) -> None:
         self.archive = archive
@@ -33,12 +33,12 @@
     def find_spec(
         self, fullname: str, path: object = None, target: object = None
     ) -> importlib.machinery.ModuleSpec | None:
-        """Copy a module to memory and return where it is."""
+        """Copy a module to an anonymous file and return the spec to load it from there."""
         member = self.members.get(fullname)
         if member is None:
             return None
-        # The descriptor stays open: the dynamic loader knows libraries by
-        # their path, and a number that is used again would give the old one.
+        # The descriptor stays open because the dynamic loader identifies libraries
+        # by path: a reused descriptor number would give the earlier library.
         descriptor = os.memfd_create(fullname)
         with os.fdopen(descriptor, "wb", closefd=False) as file:
             file.write(self.archive.read(member))
@@ -48,7 +48,7 @@
 
 
 def start() -> None:
-    """Find extension modules in this file and run the command line."""
+    """Install the finder for this file and run the command line."""
     sys.meta_path.insert(0, ExtensionFinder(zipfile.ZipFile(sys.path[0])))
     from agaterail.cmd.main import main
 
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,4 +1,4 @@
-"""Build ``dist/agaterail``: one executable file that runs as one process."""
+"""Build ``dist/agaterail``, a single executable file that runs as one process."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 EXECUTABLE_MODE = 0o755
 DIGEST_BYTES = 12
 EXCLUDED_DIRECTORIES = ("tests", "testing", "__pycache__")
-# What pip wrote about the environment; it differs between two of them.
+# Files that pip writes about the environment; they differ between environments.
 EXCLUDED_NAMES = ("RECORD", "INSTALLER", "REQUESTED", "direct_url.json")
 EXCLUDED_SUFFIXES = (".pyc", ".pyi", ".c", ".h", ".pyx", ".pxd", ".pth")
 
 
 def main() -> None:
-    """Build the binary and print where it is."""
+    """Build the binary and print its path and size."""
     build(BINARY)
     print(f"{BINARY.relative_to(ROOT)}: {BINARY.stat().st_size / 1e6:.1f} MB")
 
 
 def build(target: pathlib.Path) -> None:
-    """Write the binary; the same sources and lock give the same bytes."""
+    """Write the binary; the same sources, lock and interpreter path give the same bytes."""
     target.parent.mkdir(parents=True, exist_ok=True)
     with target.open("wb") as file:
         file.write(f"#!{sys._base_executable}\n".encode())  # type: ignore[attr-defined]
         with zipfile.ZipFile(file, "w", zipfile.ZIP_DEFLATED) as archive:
             members = _members()
-            # Packages without __init__.py are found by their directory's entry.
+            # Packages without __init__.py are found only by an entry for their directory.
             for folder in sorted(
                 {parent for name in members for parent in _parent_directories(name)}
             ):
@@ -52,7 +52,7 @@
 
 
 def build_cached() -> pathlib.Path:
-    """Build the binary unless one of the same sources and lock is kept."""
+    """Return the cached binary of the same sources and lock, or build it."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for path in (*sorted(PACKAGE.rglob("*.py")), ENTRY_POINT, LOCK, pathlib.Path(__file__)):
         digest.update(path.read_bytes())
@@ -65,12 +65,12 @@
 
 
 def runtime_packages() -> dict[str, str]:
-    """Return the locked versions of the run-time packages and what they need.
+    """Return the locked versions of the runtime packages and their dependencies.
 
     Raises
     ------
     RuntimeError
-        If an installed version is not the locked one.
+        If an installed version differs from the locked one.
     """
     locked = dict(line.split("==") for line in LOCK.read_text().split())
     locked = {_normalize_name(name): version for name, version in locked.items()}
@@ -85,7 +85,9 @@
             continue
         installed = importlib.metadata.version(name)
         if installed != locked.get(name):
-            raise RuntimeError(f"{name} {installed} is not the locked {locked.get(name)}")
+            raise RuntimeError(
+                f"{name} {installed} is installed, but the lock has {locked.get(name)}"
+            )
         versions[name] = installed
         pending += [Requirement(text) for text in importlib.metadata.requires(name) or ()]
     return versions
--- a/tools/claims_arithmetic.py
+++ b/tools/claims_arithmetic.py
@@ -1,7 +1,8 @@
-"""Count the appends that claims cost the log: ``python -m tools.claims_arithmetic``.
+"""Measure the log appends of claims: ``python -m tools.claims_arithmetic``.
 
-One and eight daemons are measured on real processes; 410 are computed from the
-measured appends of a partition by the rate of its claims.
+One and eight daemons are measured as real processes. The appends of 410 daemons
+are computed from the claim rate of a partition, by a formula whose results are
+printed beside the measured appends.
 """
 
 from __future__ import annotations
@@ -47,18 +48,19 @@
 
 
 def computed_appends_per_s(claims_per_s: float, records_per_claim: int = 2) -> float:
-    """Return the appends a second of all partitions.
+    """Return the appends per second of all partitions.
 
-    Claim and outcome each come to the partition's owner at random moments. An
-    append takes all that came in the group interval, so a partition appends at
-    most once an interval, and below that once for each busy interval.
+    Claims and outcomes arrive at the owner of the partition at random times. One
+    append contains everything that arrives within the batch delay, so a
+    partition appends at most once per delay, and at lower rates once for each
+    delay in which something arrives.
     """
     entries = records_per_claim * claims_per_s / PARTITIONS
     return PARTITIONS * entries / (1.0 + entries * BATCH_DELAY_S)
 
 
 def main() -> None:
-    """Measure, compute and print."""
+    """Print the measured and the computed appends."""
     parser = argparse.ArgumentParser(prog="tools.claims_arithmetic")
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--seed", type=int, default=1)
@@ -84,7 +86,7 @@
 
 
 def measure(daemons: int, rate: float, seconds: float, seed: int) -> RunResult:
-    """Send keyed calls at a rate through all daemons and count the appends."""
+    """Send calls with idempotency keys through all daemons and count the appends."""
     with Fleet("error") as fleet, tempfile.TemporaryDirectory() as folder:
         fleet.start_platform()
         service = fleet.start_stand_in("service")
--- a/tools/measure_apply.py
+++ b/tools/measure_apply.py
@@ -1,7 +1,7 @@
-"""Measure the time from an edit to its being in force on real daemons.
+"""Measure how long an edit takes to be in force on real daemons.
 
-``python -m tools.measure_apply [DAEMONS] [EDITS]`` prints lines of
-``name value``.
+``python -m tools.measure_apply [DAEMONS] [EDITS]`` prints one ``name value``
+pair per line.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def main() -> None:
-    """Run the measurement."""
+    """Start a fleet and run the measurement."""
     daemons = int(sys.argv[1]) if len(sys.argv) > 1 else DAEMONS
     edits = int(sys.argv[2]) if len(sys.argv) > 2 else EDITS
     with Fleet("error") as fleet, tempfile.TemporaryDirectory() as folder:
@@ -64,7 +64,7 @@
 
 
 class Measurement:
-    """Edits from this process and the offsets that the daemons serve."""
+    """Submits edits from this process and polls the offsets that the daemons serve."""
 
     def __init__(self, fleet: Fleet, rng: random.Random) -> None:
         self.fleet = fleet
@@ -78,7 +78,7 @@
         self.peers.start()
 
     def run(self, edits: int) -> None:
-        """Print all lines."""
+        """Measure and print all figures."""
         count = len(self.fleet.daemons)
         before = self._log_stats()
         started = time.monotonic()
@@ -111,7 +111,7 @@
         return EditTimes(accepted_s, time.monotonic() - started)
 
     def _measure_outage(self, number: int) -> float:
-        """Send an edit while the log is down; count from the log's return."""
+        """Submit an edit while the log is down; return the time since its recovery."""
         self.fleet.control(self.fleet.log, down=True)
         submitted = gevent.spawn(self._submit, f"outage-{number}")
         gevent.sleep(OUTAGE_S + self.random.uniform(0, 2))
@@ -154,7 +154,7 @@
                 if isinstance(served, OffsetAnswer) and served.through >= offset:
                     return
             gevent.sleep(POLL_INTERVAL_S)
-        raise RuntimeError(f"{address} does not serve offset {offset}")
+        raise RuntimeError(f"{address} timed out before it served offset {offset}")
 
     def _log_stats(self) -> dict:
         return call(self.fleet.log, "GET", "/stats")
--- a/tools/measure_desired.py
+++ b/tools/measure_desired.py
@@ -1,7 +1,7 @@
-"""Measure what a change of a large desired state costs a reader and those that ask it.
+"""Measure the cost of a change of a large desired state for a reader and its peers.
 
 Prints bytes and milliseconds of the whole state and of a change of one row, and the
-memory of the versions that are kept.
+memory of the retained versions.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def make_state(version: int, routes: int, workspaces: int) -> bytes:
-    """Return the record of a state whose names and keys are random but repeatable."""
+    """Return an encoded state with random names and keys from a fixed seed."""
     rng = random.Random(1)
 
     def name(length: int) -> str:
@@ -72,7 +72,7 @@
 
 
 def main(routes: int = 2800, workspaces: int = 0) -> None:
-    """Measure a state of so many rows."""
+    """Measure a state with the given number of routes and workspaces."""
     first, second = (make_state(version, routes, workspaces) for version in (1, 2))
     reader, requester, decoder = DocumentFeed(), DocumentFeed(), DesiredDecoder()
     for feed in (reader, requester):
--- a/tools/measure_drain.py
+++ b/tools/measure_drain.py
@@ -1,8 +1,8 @@
 """Drain one of two daemons under load: ``python -m tools.measure_drain``.
 
-A balancer goes on sending to the draining daemon for its lag. Streams of 20
-seconds are in flight, one target leaves during the run, and every stream must
-end whole.
+The load balancer keeps sending to the draining daemon during the drain lag.
+Streams of 20 seconds are in flight, one target leaves during the run, and every
+stream must be complete.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def main() -> None:
-    """Run and print what each kind of stream came to."""
+    """Run the drain and print the results of each kind of stream."""
     parser = argparse.ArgumentParser(prog="tools.measure_drain")
     parser.add_argument("--long", type=int, default=20)
     arguments = parser.parse_args()
--- a/tools/measure_startup.py
+++ b/tools/measure_startup.py
@@ -1,8 +1,9 @@
-"""Measure which peers to ask at a start, and how long a real start takes.
+"""Measure how many peers to query at a start, and how long a real start takes.
 
 ``python -m tools.measure_startup`` simulates the start-up logic for several
-numbers of asked peers (k) and of answers waited for (l), with stalled and stale
-peers; ``python -m tools.measure_startup real ROWS`` starts real daemons.
+numbers of queried peers (k) and sufficient answers (l), with stalled and stale
+peers. ``python -m tools.measure_startup real ROWS`` starts real daemons with
+this number of routes.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 @attrs.frozen(kw_only=True)
 class SimulatedPeer:
-    """A simulated peer; ``answer_s`` is None when it is stalled."""
+    """A simulated peer; ``answer_s`` is None if it is stalled and never answers."""
 
     answer_s: float | None
     through: int
@@ -45,7 +46,7 @@
 
 @attrs.frozen
 class SimulatedStart:
-    """One simulated start: seconds until it serves, what it serves, messages."""
+    """Time until a simulated start serves, the offset it serves, and its messages."""
 
     seconds: float
     through: int
@@ -114,7 +115,7 @@
     peers_per_round: int,
     sufficient_answers: int,
 ) -> SimulatedStart:
-    """Start with the log down; only the peers can answer."""
+    """Simulate a start while the log is down, so that only peers can answer."""
     plan = StartupPlan(rng, 0.0, peers_per_round, sufficient_answers)
     plan.log.failed = True
     now, messages = 0.0, 0
@@ -155,7 +156,7 @@
         file.write(text)
     status = apply([folder], fleet.log, "measure", False, in_parts=True)
     if status:
-        raise RuntimeError(f"apply failed with {status}")
+        raise RuntimeError(f"applying the tables failed with exit status {status}")
 
 
 def _measure_restarts(fleet: Fleet, name: str, rows: int) -> None:
@@ -172,7 +173,7 @@
 
 
 def _first_token_s(daemon: Daemon) -> float:
-    """Return the seconds from the open port to a first token."""
+    """Return the seconds from the open port to the first token of a request."""
     address = Address.parse(daemon.address)
     while True:
         try:
@@ -191,7 +192,7 @@
         if seen.whole:
             return sent_at - opened + seen.first_token_ms / 1e3
         if time.monotonic() - opened > 20:
-            raise RuntimeError("no request was served in 20 s")
+            raise RuntimeError("no request was served within 20 s after the port opened")
         time.sleep(0.005)
 
 
--- a/tools/measure_tables.py
+++ b/tools/measure_tables.py
@@ -1,6 +1,6 @@
-"""Measure the tables by size, and the members' messages by number of daemons.
+"""Measure the tables by size, and the messages of the members by number of daemons.
 
-Each line is ``name size value``.
+Prints lines of ``name size value``.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def main() -> None:
-    """Print all lines."""
+    """Measure and print all figures."""
     logs.configure("error")
     for rows in ROWS:
         _measure_rows(rows)
@@ -74,7 +74,7 @@
 
 
 def _fold_ms(tables: Tables, row: Row) -> float:
-    """Return the median time of one edit of one row."""
+    """Return the median time to fold an edit of one row, in milliseconds."""
     times = []
     for number in range(EDITS):
         table = TableName.ROUTES if isinstance(row, Route) else TableName.POOLS
--- a/tools/overhead.py
+++ b/tools/overhead.py
@@ -1,9 +1,9 @@
-"""Measure what the daemon adds beside direct connections to the same engines.
+"""Measure the overhead of the daemon over direct connections to the same engines.
 
-First, 100 requests/s are sent in turns to the engines directly and through one
-daemon; the difference of the first-token times is the daemon's. Then long
-answers are streamed through it at two levels of concurrency, and its processor
-time is read from /proc.
+First, phases of 100 requests/s alternate between the engines directly and one
+daemon; the difference of the first-token times is the overhead. Then long
+answers are streamed through the daemon at two levels of concurrency, and its
+processor time is read from /proc.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class StreamingResult:
-    """What one level of concurrency gave."""
+    """Totals of all streams at one level of concurrency."""
 
     streams: int
     broken: int
@@ -65,7 +65,10 @@
 
 
 def main() -> None:
-    """Print the added first-token time and the events per second of a core."""
+    """Print the added first-token time and the events per second of a core.
+
+    The exit status is 1 if any stream is broken.
+    """
     parser = argparse.ArgumentParser(prog="overhead")
     parser.add_argument("--only", choices=["first-token", "events"], default="")
     only = parser.parse_args().only
@@ -88,7 +91,7 @@
     daemon = fleet.daemons[0]
     direct: list[Seen] = []
     routed: list[Seen] = []
-    _send_phase([daemon.address], workload, 1.0)  # first requests open connections
+    _send_phase([daemon.address], workload, 1.0)  # warm-up: opens connections
     cpu_s, started = 0.0, 0.0
     for _ in range(PHASES // 2):
         direct += _send_phase(fleet.engines, workload, PHASE_S)
--- a/tools/slopes/__init__.py
+++ b/tools/slopes/__init__.py
@@ -1,3 +1,3 @@
-"""Slopes of cost against size, for docs/CAPACITY.md."""
+"""Slopes of cost by size, for docs/CAPACITY.md."""
 
 from __future__ import annotations
--- a/tools/slopes/__main__.py
+++ b/tools/slopes/__main__.py
@@ -1,6 +1,6 @@
-"""Measure all slopes: ``make slopes``, or the roles that are named.
+"""Measure the slopes of the given roles, or of the default ones (``make slopes``).
 
-``idle`` takes a minute and a half and is run by its name.
+``idle`` takes a minute and a half and runs only if it is given.
 """
 
 from __future__ import annotations
--- a/tools/slopes/claims.py
+++ b/tools/slopes/claims.py
@@ -1,4 +1,4 @@
-"""Claims of non-idempotent requests."""
+"""Slopes of the claims of non-idempotent requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def measure() -> Iterator[Slope]:
-    """Measure the slopes of this role."""
+    """Yield the slopes of this role."""
     counts = (2_000, 8_000, 32_000)
     yield fit("claims.key_memory", "bytes", "claim", [_memory(n) for n in counts])
     yield fit("claims.fold_cpu", "s", "claim", [_fold_cpu(n) for n in counts])
--- a/tools/slopes/fit.py
+++ b/tools/slopes/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Measurement of processor time and memory, and linear fits through the points."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
     Attributes
     ----------
     per
-        What one step of the size is.
+        Unit of the size.
     error
-        Root mean square of the residuals over the mean value.
+        Root mean square of the residuals, divided by the mean value.
     """
 
     name: str
@@ -50,7 +50,7 @@
 
 
 def fit(name: str, unit: str, per: str, points: Sequence[Point]) -> Slope:
-    """Fit a line.
+    """Return the least-squares line through the points.
 
     Raises
     ------
@@ -58,7 +58,7 @@
         If there are fewer than three points.
     """
     if len(points) < MIN_POINTS:
-        raise ValueError(f"{name}: a slope needs {MIN_POINTS} sizes or more")
+        raise ValueError(f"{name}: a fit needs at least {MIN_POINTS} points")
     sizes = [point.size for point in points]
     values = [point.value for point in points]
     slope, intercept = statistics.linear_regression(sizes, values)
@@ -72,7 +72,7 @@
 
 
 def cpu_s(action: Callable[[], object], repeat: int = 3) -> float:
-    """Return the least processor time of some runs, in seconds."""
+    """Return the shortest processor time of several runs, in seconds."""
     best = float("inf")
     for _ in range(repeat):
         started = time.process_time()
@@ -82,7 +82,7 @@
 
 
 def retained_bytes(build: Callable[[], object]) -> int:
-    """Return the bytes that an object and what it refers to keep allocated."""
+    """Return the bytes retained by a new object and everything it references."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
--- a/tools/slopes/home.py
+++ b/tools/slopes/home.py
@@ -1,4 +1,4 @@
-"""Engine home: events, keys, load reports, candidate queries."""
+"""Slopes of the engine home: cache events, keys, load reports, candidate queries."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def block_key(number: int) -> bytes:
-    """Return a block key as engines name it."""
+    """Return a block key in the format of the engines."""
     return blake2b(number.to_bytes(8, "big"), digest_size=16).digest()
 
 
 def measure() -> Iterator[Slope]:
-    """Measure the slopes of this role."""
+    """Yield the slopes of this role."""
     yield fit(
         "home.key_memory", "bytes", "key", [_memory(n) for n in (20_000, 60_000, 120_000)]
     )
@@ -129,7 +129,7 @@
 
 
 def candidate_state(engine: str) -> CandidateState:
-    """Return what a home might answer of an engine."""
+    """Return a typical state of an engine, as its home answers it."""
     return CandidateState(
         engine=engine,
         depth=4,
--- a/tools/slopes/idle.py
+++ b/tools/slopes/idle.py
@@ -1,7 +1,8 @@
-"""Cost of control on a real daemon that serves no requests.
+"""Control overhead of a real daemon that serves no requests.
 
-The daemon sees 600 engines, 410 members and 23,000 workspaces. It is the home
-of two engines of the target's event rate; the other addresses are never called.
+The daemon knows 600 engines, 410 members and up to 23,000 workspaces. It is the
+home of two engines, which send events at the rate of the target size. The other
+addresses are fictitious and never called.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 @attrs.frozen
 class Usage:
-    """What one daemon used while it was watched."""
+    """Resource usage of one daemon during the measurement."""
 
     cpu_percent: float
     resident_mb: float
@@ -52,7 +53,7 @@
 
 
 def measure() -> Iterator[Slope]:
-    """Measure the slopes of an idle daemon against the number of workspaces."""
+    """Yield the slopes of an idle daemon by number of workspaces."""
     used = {size: measure_usage(size) for size in WORKSPACE_COUNTS}
     for size, usage in used.items():
         print(f"idle daemon, {size} workspaces: {usage}")
@@ -62,10 +63,10 @@
 
 
 def measure_usage(workspaces: int) -> Usage:
-    """Run one daemon on stand-ins of this process and watch it.
+    """Run one daemon with stand-ins in this process and return its usage.
 
-    With no workspaces there are no tables, members or engines either: the
-    usage is that of the libraries.
+    Without workspaces there are no tables, members or engines either, so that
+    the usage is that of the libraries alone.
     """
     log, hosts = LogStandIn(), HostsStandIn()
     engines = [
@@ -152,7 +153,7 @@
 
 
 def _home_endpoints(own_peer: str) -> Iterator[tuple[str, int]]:
-    """Yield loopback places of engines whose home is the watched daemon."""
+    """Yield loopback endpoints of engines whose home is the measured daemon."""
     homes = HomeMap(own_peer)
     homes.set_members(_members(own_peer))
     port = free_port_base()
@@ -163,8 +164,8 @@
 
 
 def _pool_targets(own_peer: str, addresses: list[str]) -> tuple[TargetEntry, ...]:
-    # Only engines whose home is another member are taken from the made-up
-    # ones: the daemon would call those that were its own.
+    # The daemon calls the engines whose home it is, so the fictitious engines are
+    # limited to those whose home is another member.
     homes = HomeMap(own_peer)
     homes.set_members(_members(own_peer))
     foreign = [
--- a/tools/slopes/receiver.py
+++ b/tools/slopes/receiver.py
@@ -1,4 +1,4 @@
-"""Receiving daemon: choosing a target among many engines."""
+"""Slopes of the receiving daemon: choosing a target among many engines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def measure() -> Iterator[Slope]:
-    """Measure the slopes of this role."""
+    """Yield the slopes of this role."""
     counts = (500, 1000, 2000)
     yield fit(
         "receiver.decision_cpu", "s", "decision", [_decision_cpu(n, ENGINES) for n in counts]
@@ -60,7 +60,7 @@
 
 
 def engine_pool(engines: int) -> Pool:
-    """Return a pool with so many engines in five failure domains."""
+    """Return a pool of engines in five failure domains."""
     targets = tuple(
         TargetEntry(address=f"10.1.{n // 250}.{n % 250 + 1}:8000", domain="abcde"[n % 5])
         for n in range(engines)
--- a/tools/slopes/state.py
+++ b/tools/slopes/state.py
@@ -1,4 +1,4 @@
-"""Tables, host list, members and the lease."""
+"""Slopes of the tables, the host list, the members and the lease."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def measure() -> Iterator[Slope]:
-    """Measure the slopes of these roles."""
+    """Yield the slopes of these roles."""
     rows = (1_000, 6_000, 23_000)
     yield fit("tables.row_memory", "bytes", "route", [_table_memory(n) for n in rows])
     yield fit("tables.caller_index", "bytes", "route", [_index_memory(n) for n in rows])
@@ -47,7 +47,7 @@
 
 
 def make_tables(rows: int) -> Tables:
-    """Return tables with one engine pool and so many routes, one a workspace."""
+    """Return tables with one engine pool and one route per workspace."""
     pool = engine_pool(ENGINES)
     routes = {f"route-{n}": Versioned(_route(n), n, "shift-a") for n in range(rows)}
     pools: dict[str, Versioned[Pool]] = {pool.name: Versioned(pool, 0, "shift-a")}
@@ -190,11 +190,11 @@
 
 
 class CountingLog(MemoryLogStore):
-    """Log that counts its reads."""
+    """Log store that counts the reads."""
 
     reads = 0
 
     def read(self, *arguments, **named):  # type: ignore[no-untyped-def]
-        """Count and read."""
+        """Count the read and delegate it."""
         self.reads += 1
         return super().read(*arguments, **named)
