--- a/tools/bench/figures.py
+++ b/tools/bench/figures.py
@@ -1,4 +1,4 @@
-"""Arithmetic of the measurements."""
+"""Figures of the cells and how they are computed."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @attrs.frozen(kw_only=True)
 class EngineCounts:
-    """Counts of one engine since it started.
+    """Counters of one engine since its start.
 
     Attributes
     ----------
     blocks
-        How often each block was computed, by key.
+        Number of computations of each block, by block key.
     """
 
     prompt_tokens: int
@@ -30,7 +30,7 @@
 
 @attrs.frozen(kw_only=True)
 class DaemonCounts:
-    """Counts of one daemon process since it started."""
+    """Counters of one daemon process since its start, and its resident memory."""
 
     pid: int
     cpu_s: float
@@ -41,27 +41,28 @@
 
 @attrs.frozen(kw_only=True)
 class Figures:
-    """Figures of one cell.
+    """Results of one cell.
 
     Attributes
     ----------
     wasted_tokens
-        Tokens of full blocks that were computed again: some engine, this one
-        or another, had computed the same block earlier in the run, the
-        warm-up included. The first computation of a block is not waste.
+        Tokens of full blocks that were computed although the same or another
+        engine had already computed the block in the run or its warm-up. The
+        first computation of a block is not waste.
     first_token_ms
-        Times to the first token, sorted; a request without a whole answer
-        counts with its deadline.
+        Sorted times to the first token. A request without a complete answer
+        counts with its deadline, so that a policy gains nothing by refusing.
     late_hit_rate
-        Hit rate of whole answers to requests of the last quarter; a fault at
-        half time is then a quarter of the run ago.
+        Hit rate of complete answers to requests of the last quarter of the run,
+        which begins a quarter of the run after a fault at half time.
     busiest, mean_busy
-        Share of the time for which the busiest and the average engine
-        prefilled.
+        Prefill time of the busiest and of the average engine, as a share of
+        the run.
     late_ms
-        Lateness of the load generator at the 99th percentile and at most.
+        Lateness of the load generator: 99th percentile and maximum.
     sent_bytes_per_s, cpu_s, rss_mb
-        Per daemon: mean bytes sent to peers, mean processor time, most memory.
+        Per daemon: mean bytes per second sent to peers, mean processor time,
+        highest resident memory.
     """
 
     requests: int
@@ -97,44 +98,45 @@
         return percentile(self.first_token_ms, 0.99)
 
 
-def pooled(found: Sequence[Figures]) -> Figures:
-    """Return one set of figures for several seeds of a cell.
+def pooled(results: Sequence[Figures]) -> Figures:
+    """Return the combined figures of several seeds of one cell.
 
-    Times to the first token are pooled, counts added up, rates averaged.
+    Times to the first token are pooled, counts summed, rates averaged, and of
+    each maximum the highest is kept.
     """
-    count = len(found)
+    count = len(results)
     return Figures(
-        requests=sum(item.requests for item in found),
-        hit_rate=sum(item.hit_rate for item in found) / count,
-        computed_tokens=sum(item.computed_tokens for item in found),
-        wasted_tokens=sum(item.wasted_tokens for item in found),
-        imported_blocks=sum(item.imported_blocks for item in found),
-        first_token_ms=tuple(sorted(ms for item in found for ms in item.first_token_ms)),
-        not_whole=sum(item.not_whole for item in found),
-        errors=_added(item.errors for item in found),
-        reasons=_added(item.reasons for item in found),
-        late_hit_rate=sum(item.late_hit_rate for item in found) / count,
-        busiest=max(item.busiest for item in found),
-        mean_busy=sum(item.mean_busy for item in found) / count,
+        requests=sum(item.requests for item in results),
+        hit_rate=sum(item.hit_rate for item in results) / count,
+        computed_tokens=sum(item.computed_tokens for item in results),
+        wasted_tokens=sum(item.wasted_tokens for item in results),
+        imported_blocks=sum(item.imported_blocks for item in results),
+        first_token_ms=tuple(sorted(ms for item in results for ms in item.first_token_ms)),
+        not_whole=sum(item.not_whole for item in results),
+        errors=_sum_counts(item.errors for item in results),
+        reasons=_sum_counts(item.reasons for item in results),
+        late_hit_rate=sum(item.late_hit_rate for item in results) / count,
+        busiest=max(item.busiest for item in results),
+        mean_busy=sum(item.mean_busy for item in results) / count,
         late_ms=(
-            max(item.late_ms[0] for item in found),
-            max(item.late_ms[1] for item in found),
+            max(item.late_ms[0] for item in results),
+            max(item.late_ms[1] for item in results),
         ),
-        sent_bytes_per_s=sum(item.sent_bytes_per_s for item in found) / count,
-        cpu_s=sum(item.cpu_s for item in found) / count,
-        rss_mb=max(item.rss_mb for item in found),
+        sent_bytes_per_s=sum(item.sent_bytes_per_s for item in results) / count,
+        cpu_s=sum(item.cpu_s for item in results) / count,
+        rss_mb=max(item.rss_mb for item in results),
     )
 
 
-def percentile(ordered: Sequence[float], share: float) -> float:
-    """Return the nearest-rank percentile of sorted values; 0 without any."""
+def percentile(ordered: Sequence[float], fraction: float) -> float:
+    """Return the nearest-rank percentile of sorted values, or 0 if there are none."""
     if not ordered:
         return 0.0
-    return ordered[max(0, math.ceil(len(ordered) * share) - 1)]
+    return ordered[max(0, math.ceil(len(ordered) * fraction) - 1)]
 
 
 def hit_rate(before: Sequence[EngineCounts], after: Sequence[EngineCounts]) -> float:
-    """Return cached over prompt tokens between two snapshots of all engines."""
+    """Return the share of prompt tokens that were cached between two snapshots."""
     prompt = sum(item.prompt_tokens for item in after) - sum(
         item.prompt_tokens for item in before
     )
@@ -147,9 +149,9 @@
 def wasted_tokens(
     before: Sequence[EngineCounts], after: Sequence[EngineCounts], block_tokens: int
 ) -> int:
-    """Return the tokens of blocks computed again between two snapshots."""
-    computed = _computations(after) - _computations(before)
-    new = _known(after) - _known(before)
+    """Return the tokens of blocks that were recomputed between two snapshots."""
+    computed = _computation_count(after) - _computation_count(before)
+    new = _block_keys(after) - _block_keys(before)
     return (computed - len(new)) * block_tokens
 
 
@@ -158,15 +160,15 @@
     return (value - worst) / (best - worst) if best != worst else 1.0
 
 
-def _computations(counts: Sequence[EngineCounts]) -> int:
+def _computation_count(counts: Sequence[EngineCounts]) -> int:
     return sum(sum(item.blocks.values()) for item in counts)
 
 
-def _known(counts: Sequence[EngineCounts]) -> set[str]:
+def _block_keys(counts: Sequence[EngineCounts]) -> set[str]:
     return {key for item in counts for key in item.blocks}
 
 
-def _added(counts: Iterable[Mapping[str, int]]) -> Mapping[str, int]:
+def _sum_counts(counts: Iterable[Mapping[str, int]]) -> Mapping[str, int]:
     total: collections.Counter[str] = collections.Counter()
     for item in counts:
         total.update(item)
--- a/tools/bench/tune.py
+++ b/tools/bench/tune.py
@@ -1,7 +1,7 @@
-"""Extension of the daemon that changes or takes out one mechanism of ``cost``.
+"""Daemon extension that changes or disables mechanisms of the ``cost`` policy.
 
-The variable ``BENCH_TUNE`` holds the changes as a JSON object; its names are
-the attributes of ``Tuning``.
+The environment variable ``BENCH_TUNE`` holds a JSON object whose keys are
+attributes of ``Tuning``.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from agaterail.application import Application
 
-VARIABLE = "BENCH_TUNE"
+TUNING_VARIABLE = "BENCH_TUNE"
 
 
 @attrs.frozen(kw_only=True)
@@ -29,13 +29,13 @@
     Attributes
     ----------
     candidates
-        Candidates by rendezvous order.
+        Number of candidates that are taken in hash order.
     query_timeout_ms
-        Deadline of the question to the homes; 0 asks none.
+        Timeout of the candidate query to the homes; 0 disables the query.
     predict
-        Whether dispatches insert expected blocks.
+        Whether a dispatch adds predicted blocks to the engine index.
     count_dispatches
-        Whether dispatches since the load report are added to it.
+        Whether dispatches since the last load report are added to its load.
     widen
         Whether hot prefixes get more candidates.
     """
@@ -48,28 +48,28 @@
 
 
 def setup(app: Application) -> None:
-    """Apply the changes of the environment."""
-    tuning = Tuning(**json.loads(os.environ.get(VARIABLE, "{}")))
+    """Apply the changes from the environment."""
+    tuning = Tuning(**json.loads(os.environ.get(TUNING_VARIABLE, "{}")))
     policy = app.policies["cost"]
     assert isinstance(policy, CostPolicy)
-    finder: Any = app.candidates
+    candidate_finder: Any = app.candidates
     if tuning.candidates is not None:
         policy.count = tuning.candidates
     if tuning.query_timeout_ms is not None:
-        finder.timeout_s = tuning.query_timeout_ms / 1e3
+        candidate_finder.timeout_s = tuning.query_timeout_ms / 1e3
     if tuning.query_timeout_ms == 0:
-        finder.query = _no_answers
+        candidate_finder.query = _no_answers
     if not tuning.widen:
         policy.hot_keys.replica_rate_per_s = float("inf")
     if not tuning.predict:
-        EngineIndex.predict = _nothing  # type: ignore[method-assign,assignment]
+        EngineIndex.predict = _do_nothing  # type: ignore[method-assign,assignment]
     if not tuning.count_dispatches:
-        EngineLoad.on_dispatch = _nothing  # type: ignore[method-assign,assignment]
+        EngineLoad.on_dispatch = _do_nothing  # type: ignore[method-assign,assignment]
 
 
 def _no_answers(*_: object) -> dict[str, object]:
     return {}
 
 
-def _nothing(*_: object) -> None:
+def _do_nothing(*_: object) -> None:
     return
