--- a/agaterail/candidates.py
+++ b/agaterail/candidates.py
@@ -9,7 +9,7 @@
 from returns.result import Success
 
 from agaterail.index import SHORT_KEY_BYTES, short_key
-from agaterail.peers import fields_of, message_of, peer_message
+from agaterail.peers import decode_message, encode_fields, peer_message
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Sequence
@@ -216,7 +216,7 @@
     query = CandidateQuery(("",), b"", (1,))
     answer = CandidateAnswer((CandidateState("", 1, 0.5, 1.0, 1, 1.0, 1.0, "v", True),))
     for message in (query, answer, DispatchNotice("", "", 1, b""), FinishNotice("", "")):
-        message_of(type(message), fields_of(message))
+        decode_message(type(message), encode_fields(message))
 
 
 def _sampled_depths(count: int) -> Iterator[int]:
--- a/agaterail/cmd/arguments.py
+++ b/agaterail/cmd/arguments.py
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Accepted:
+class CommandSignature:
     """What a command takes.
 
     Attributes
@@ -43,12 +43,12 @@
     switches: frozenset[str]
     paths: bool
 
-    def has(self, name: str) -> bool:
+    def has_flag(self, name: str) -> bool:
         """Tell whether there is such a flag."""
         return name in self.values or name in self.switches
 
 
-def accepted_by(command: Callable[..., int]) -> Accepted:
+def signature_of(command: Callable[..., int]) -> CommandSignature:
     """Read from the signature what a command takes.
 
     A parameter whose default is the text ``false`` is a switch. A command that
@@ -66,48 +66,50 @@
             values |= {field.name for field in fields if field.default is not False}
         else:
             (switches if parameter.default == SWITCH_OFF else values).add(parameter.name)
-    return Accepted(frozenset(values), frozenset(switches), paths)
+    return CommandSignature(frozenset(values), frozenset(switches), paths)
 
 
-def check(words: Sequence[str], accepted: Accepted) -> Result[list[str], list[str]]:
+def check(
+    arguments: Sequence[str], signature: CommandSignature
+) -> Result[list[str], list[str]]:
     """Return the words as fire should get them, or one line for each problem."""
     problems: list[str] = []
     paths: list[str] = []
     flags: dict[str, str] = {}
-    left = list(words)
-    while left:
-        word = left.pop(0)
-        if not word.startswith("-"):
-            paths.append(word)
+    remaining = list(arguments)
+    while remaining:
+        argument = remaining.pop(0)
+        if not argument.startswith("-"):
+            paths.append(argument)
             continue
-        name, given, value = word.removeprefix(FLAG).replace("-", "_").partition("=")
-        if not word.startswith(FLAG) or not accepted.has(name):
-            problems.append(_unknown(word, accepted))
-            if left and not given and not left[0].startswith("-"):
-                left.pop(0)
+        name, separator, value = argument.removeprefix(FLAG).replace("-", "_").partition("=")
+        if not argument.startswith(FLAG) or not signature.has_flag(name):
+            problems.append(_unknown_flag(argument, signature))
+            if remaining and not separator and not remaining[0].startswith("-"):
+                remaining.pop(0)
             continue
-        if given:
-            value = word.partition("=")[2]
-        elif name in accepted.switches:
+        if separator:
+            value = argument.partition("=")[2]
+        elif name in signature.switches:
             value = SWITCH_ON
-            if left and left[0].lower() in (SWITCH_ON, SWITCH_OFF):
-                value = left.pop(0)
-        elif left and not left[0].startswith(FLAG):
-            value = left.pop(0)
+            if remaining and remaining[0].lower() in (SWITCH_ON, SWITCH_OFF):
+                value = remaining.pop(0)
+        elif remaining and not remaining[0].startswith(FLAG):
+            value = remaining.pop(0)
         else:
-            problems.append(f"{described(name)}: the value is missing")
+            problems.append(f"{describe_flag(name)}: the value is missing")
             continue
         if name in flags:
-            problems.append(f"{described(name)}: given more than once")
+            problems.append(f"{describe_flag(name)}: given more than once")
         flags[name] = value
-    problems += _path_problems(paths, accepted)
+    problems += _path_problems(paths, signature)
     if problems:
         return Failure(problems)
     literals = [repr(path) for path in paths]
     return Success(literals + [f"{FLAG}{name}={value!r}" for name, value in flags.items()])
 
 
-def described(name: str) -> str:
+def describe_flag(name: str) -> str:
     """Return a flag with its variable, if it is a setting."""
     flag = Settings.flag_of(name)
     if name in {field.name for field in attrs.fields(Settings)}:
@@ -115,19 +117,19 @@
     return flag
 
 
-def _unknown(word: str, accepted: Accepted) -> str:
-    flag = word.partition("=")[0]
-    known = [Settings.flag_of(name) for name in accepted.values | accepted.switches]
-    near = difflib.get_close_matches(flag.replace("_", "-"), sorted(known), n=1)
-    if not near:
+def _unknown_flag(argument: str, signature: CommandSignature) -> str:
+    flag = argument.partition("=")[0]
+    known = [Settings.flag_of(name) for name in signature.values | signature.switches]
+    matches = difflib.get_close_matches(flag.replace("_", "-"), sorted(known), n=1)
+    if not matches:
         return f"{flag}: there is no such flag"
-    name = near[0].removeprefix(FLAG).replace("-", "_")
-    return f"{flag}: there is no such flag; did you mean {described(name)}?"
+    name = matches[0].removeprefix(FLAG).replace("-", "_")
+    return f"{flag}: there is no such flag; did you mean {describe_flag(name)}?"
 
 
-def _path_problems(paths: list[str], accepted: Accepted) -> list[str]:
-    if accepted.paths and not paths:
+def _path_problems(paths: list[str], signature: CommandSignature) -> list[str]:
+    if signature.paths and not paths:
         return ["Name at least one table file or directory."]
-    if paths and not accepted.paths:
-        return [f"{word!r}: this command takes flags only" for word in paths]
+    if paths and not signature.paths:
+        return [f"{argument!r}: this command takes flags only" for argument in paths]
     return []
--- a/agaterail/cmd/main.py
+++ b/agaterail/cmd/main.py
@@ -28,11 +28,11 @@
     from collections.abc import Callable, Sequence
 
 PROGRAM = "agaterail"
-FLAG_LINE = re.compile(r"(?:-\w, )?(--\w+)")
-FAILED = 1
-USAGE_ERROR = 2
-INTERRUPTED = 130
-HELP_WORDS = ("--help", "-h", "help")
+HELP_FLAG = re.compile(r"(?:-\w, )?(--\w+)")
+EXIT_FAILED = 1
+EXIT_USAGE = 2
+EXIT_INTERRUPTED = 130
+HELP_ARGUMENTS = ("--help", "-h", "help")
 COMMANDS = (
     "serve",
     "gateway",
@@ -96,7 +96,7 @@
         try:
             seconds = float(around)
         except ValueError:
-            return _complain(f"--around: {around!r} is no number of seconds.")
+            return _usage_error(f"--around: {around!r} is no number of seconds.")
         return print_trace(request_id, paths, seconds)
 
     def losses(self, *paths: str, slot: str = "2") -> int:
@@ -113,7 +113,7 @@
         from agaterail.cmd.losses import print_losses
 
         if not slot.isdigit():
-            return _complain(f"--slot: {slot!r} is no whole number of seconds.")
+            return _usage_error(f"--slot: {slot!r} is no whole number of seconds.")
         return print_losses(paths, int(slot))
 
     def check(self, *paths: str) -> int:
@@ -134,7 +134,7 @@
         against
             Directory or file to compare with instead of what is in force.
         """
-        return _with_log(log_service, lambda address: diff(paths, address, against))
+        return _with_log_address(log_service, lambda address: diff(paths, address, against))
 
     def apply(
         self,
@@ -163,7 +163,7 @@
         in_parts
             Split an edit that is larger than a record of the log.
         """
-        return _with_log(
+        return _with_log_address(
             log_service,
             lambda address: apply(
                 paths,
@@ -185,7 +185,7 @@
         json
             Print JSON instead of a table file.
         """
-        return _with_log(log_service, lambda address: show(address, json != "false"))
+        return _with_log_address(log_service, lambda address: show(address, json != "false"))
 
     def history(self, log_service: str = "", json: str = "false") -> int:
         """Print the edits that the log still keeps and how each was judged.
@@ -197,7 +197,9 @@
         json
             Print one JSON object a line.
         """
-        return _with_log(log_service, lambda address: history(address, json != "false"))
+        return _with_log_address(
+            log_service, lambda address: history(address, json != "false")
+        )
 
     def status(self, peer: str = "", json: str = "false", **flags: str) -> int:
         """Ask a daemon for its tables version, members, engines and limits.
@@ -219,66 +221,66 @@
         return 0
 
 
-def main(words: Sequence[str] | None = None) -> None:
+def main(argv: Sequence[str] | None = None) -> None:
     """Run one command and exit with its status."""
     try:
-        code = run(list(sys.argv[1:] if words is None else words))
+        code = run(list(sys.argv[1:] if argv is None else argv))
     except KeyboardInterrupt:
-        code = INTERRUPTED
+        code = EXIT_INTERRUPTED
     except Exception as error:  # the operator gets one line in any case
         print(f"{PROGRAM}: {type(error).__name__}: {error}", file=sys.stderr)
-        code = FAILED
+        code = EXIT_FAILED
     sys.exit(code)
 
 
-def run(words: list[str]) -> int:
+def run(argv: list[str]) -> int:
     """Run one command and return its exit status."""
-    if not words:
-        return _complain(f"Name a command: {', '.join(COMMANDS)}.")
-    name, *rest = words
-    if name in HELP_WORDS:
-        return _help(Commands(), PROGRAM)
+    if not argv:
+        return _usage_error(f"Name a command: {', '.join(COMMANDS)}.")
+    name, *rest = argv
+    if name in HELP_ARGUMENTS:
+        return _print_help(Commands(), PROGRAM)
     if name not in COMMANDS:
-        return _complain(_unknown_command(name))
+        return _usage_error(_unknown_command(name))
     command = getattr(Commands(), name)
-    if any(word in HELP_WORDS[:2] for word in rest):
-        return _help(command, f"{PROGRAM} {name}")
-    checked = arguments.check(rest, arguments.accepted_by(command))
+    if any(argument in HELP_ARGUMENTS[:2] for argument in rest):
+        return _print_help(command, f"{PROGRAM} {name}")
+    checked = arguments.check(rest, arguments.signature_of(command))
     if not isinstance(checked, Success):
-        return _complain(*checked.failure())
+        return _usage_error(*checked.failure())
     code = fire.Fire(
         Commands(), command=[name, *checked.unwrap()], name=PROGRAM, serialize=lambda _: None
     )
-    return code if isinstance(code, int) else USAGE_ERROR
+    return code if isinstance(code, int) else EXIT_USAGE
 
 
-def _with_log(log_service: str, command: Callable[[str], int]) -> int:
+def _with_log_address(log_service: str, command: Callable[[str], int]) -> int:
     flags = {"log_service": log_service} if log_service else {}
     loaded = settings.load_one("log_service", flags, os.environ)
     if not isinstance(loaded, Success):
-        return _complain(str(loaded.failure()))
+        return _usage_error(str(loaded.failure()))
     return command(str(loaded.unwrap()))
 
 
-def _help(component: object, name: str) -> int:
+def _print_help(component: object, name: str) -> int:
     # Printed here and not by fire, whose pager would start a process. Short
     # flags are left out: they would change their meaning with each new flag.
     text = HelpText(component, FireTrace(component, name=name))
-    print(FLAG_LINE.sub(lambda match: match[1].replace("_", "-"), text))
+    print(HELP_FLAG.sub(lambda match: match[1].replace("_", "-"), text))
     if name.endswith(" serve"):
         print("\nSETTINGS")
         for field in attrs.fields(settings.Settings):
-            print(f"    {settings.described(field)}")
+            print(f"    {settings.describe_setting(field)}")
     return 0
 
 
 def _unknown_command(name: str) -> str:
-    near = difflib.get_close_matches(name, COMMANDS, n=1)
-    hint = f"did you mean {near[0]}?" if near else f"there are {', '.join(COMMANDS)}."
+    matches = difflib.get_close_matches(name, COMMANDS, n=1)
+    hint = f"did you mean {matches[0]}?" if matches else f"there are {', '.join(COMMANDS)}."
     return f"{name!r}: there is no such command; {hint}"
 
 
-def _complain(*lines: str) -> int:
+def _usage_error(*lines: str) -> int:
     for line in lines:
         print(line, file=sys.stderr)
-    return USAGE_ERROR
+    return EXIT_USAGE
--- a/agaterail/cmd/serve.py
+++ b/agaterail/cmd/serve.py
@@ -38,7 +38,7 @@
     return _run(chosen)
 
 
-def _complain(name: str, reason: str) -> int:
+def _report_problem(name: str, reason: str) -> int:
     print(settings.SettingsProblem.of(name, reason), file=sys.stderr)
     return EXIT_USAGE
 
@@ -51,7 +51,7 @@
         print(f"{chosen.flag_of(field.name)} ({chosen.variable_of(field.name)}): {value}")
 
 
-def _peers(chosen: Settings) -> Peers:
+def _make_peers(chosen: Settings) -> Peers:
     from agaterail.peers import Peers
     from agaterail.peers.datagram import DatagramTransport
     from agaterail.peers.grpc import GrpcTransport
@@ -71,18 +71,18 @@
     from agaterail.controllers.drain import DrainController
     from agaterail.server import make_server
 
-    app = Application(chosen, peers=_peers(chosen))
+    app = Application(chosen, peers=_make_peers(chosen))
     try:
         server = make_server(app, chosen.listen)
     except OSError as error:
-        return _complain("listen", f"{chosen.listen} cannot be bound: {error.strerror}")
+        return _report_problem("listen", f"{chosen.listen} cannot be bound: {error.strerror}")
     stopping = gevent.event.Event()
     gevent.signal_handler(signal.SIGTERM, stopping.set)
     gevent.signal_handler(signal.SIGINT, stopping.set)
     try:
         app.start()
     except OSError as error:
-        return _complain("peer_listen", f"{chosen.peer_listen} cannot be bound: {error}")
+        return _report_problem("peer_listen", f"{chosen.peer_listen} cannot be bound: {error}")
     server.start()
     stopping.wait()
     drain = app.controllers[DrainController.name]
--- a/agaterail/cmd/status.py
+++ b/agaterail/cmd/status.py
@@ -25,47 +25,47 @@
 
 def status(peer: str, as_json: bool, flags: Mapping[str, str]) -> int:
     """Print the status of the daemon at ``peer``; returns the exit status."""
-    given = {**flags, "peer_listen": peer} if peer else dict(flags)
-    loaded = settings_rules.load(given, os.environ)
+    all_flags = {**flags, "peer_listen": peer} if peer else dict(flags)
+    loaded = settings_rules.load(all_flags, os.environ)
     if not isinstance(loaded, Success):
         for problem in loaded.failure():
             print(problem, file=sys.stderr)
         return EXIT_USAGE
-    asked = _ask(loaded.unwrap())
-    if not isinstance(asked, Success):
+    answer = _query_status(loaded.unwrap())
+    if not isinstance(answer, Success):
         address = loaded.unwrap().peer_listen
-        print(f"The daemon at {address} gave no answer: {asked.failure()}", file=sys.stderr)
+        print(f"The daemon at {address} gave no answer: {answer.failure()}", file=sys.stderr)
         return EXIT_FAILED
-    report = json.loads(asked.unwrap().report)
+    report = json.loads(answer.unwrap().report)
     if as_json:
         print(json.dumps(report))
     else:
-        print("\n".join(lines_of(report)))
+        print("\n".join(format_report(report)))
     return 0
 
 
-def lines_of(report: Mapping[str, Any], indent: str = "") -> list[str]:
+def format_report(report: Mapping[str, Any], indent: str = "") -> list[str]:
     """Return a report as one line for each value, nested by indentation."""
     lines: list[str] = []
     for name, value in report.items():
         if isinstance(value, dict):
             lines.append(f"{indent}{name}:" + ("" if value else " none"))
-            lines += lines_of(value, indent + INDENT)
+            lines += format_report(value, indent + INDENT)
         elif isinstance(value, list):
             lines.append(f"{indent}{name}: {len(value)}")
             lines += [f"{indent}{INDENT}{item}" for item in value]
         else:
-            lines.append(f"{indent}{name}: {_text(value)}")
+            lines.append(f"{indent}{name}: {_format_value(value)}")
     return lines
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "yes" if value else "no"
     return f"{value:.3f}" if isinstance(value, float) else str(value)
 
 
-def _ask(chosen: Settings) -> Result[Any, str]:
+def _query_status(chosen: Settings) -> Result[Any, str]:
     from agaterail.peers import Peers
     from agaterail.peers.grpc import GrpcTransport
     from agaterail.peers.memory import MemoryNetwork, MemoryTransport
--- a/agaterail/cmd/tables.py
+++ b/agaterail/cmd/tables.py
@@ -29,12 +29,12 @@
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
-EXIT_UNKNOWN = 3
+EXIT_OUTCOME_UNKNOWN = 3
 EDIT_ID_BYTES = 12
 AUTHOR_VARIABLE = "AGATERAIL_AUTHOR"
 LOG_VARIABLE = "AGATERAIL_LOG_SERVICE"
 DEFAULT_LOG = "127.0.0.1:9000"
-NO_LOG = (
+LOG_OUTAGE_HINT = (
     "This may be an outage of the log. The daemons go on with the tables in force; "
     "try again later."
 )
@@ -54,13 +54,13 @@
         Files to compare with instead of what is in force; the log is not
         asked.
     """
-    wanted = _read_files(paths)
-    if wanted is None:
+    desired = _read_files(paths)
+    if desired is None:
         return EXIT_USAGE
-    force = _read_files([against]) if against else _in_force(_log(log_service))
-    if force is None:
+    current = _read_files([against]) if against else _read_current(_open_log(log_service))
+    if current is None:
         return EXIT_USAGE if against else EXIT_FAILED
-    _print(table_text.plan_lines(force, table_files.changes_between(force, wanted)))
+    _print(table_text.plan_lines(current, table_files.changes_between(current, desired)))
     return 0
 
 
@@ -75,18 +75,18 @@
     """Append one edit and report its verdict; returns the exit status."""
     author = author or os.environ.get(AUTHOR_VARIABLE, "")
     if not author and not dry_run:
-        return _refuse(f"An edit needs an author: give --author or {AUTHOR_VARIABLE}.")
-    wanted = _read_files(paths)
-    if wanted is None:
+        return _usage_error(f"An edit needs an author: give --author or {AUTHOR_VARIABLE}.")
+    desired = _read_files(paths)
+    if desired is None:
         return EXIT_USAGE
-    if not wanted.routes and not wanted.pools and not allow_empty:
+    if not desired.routes and not desired.pools and not allow_empty:
         # A wrong directory reads as empty tables, which would delete all rows.
-        return _refuse("The files hold no row. To delete all rows give --allow-empty.")
-    log = _log(log_service)
+        return _usage_error("The files hold no row. To delete all rows give --allow-empty.")
+    log = _open_log(log_service)
     reader = TablesReader(log)
     if not _read_to_end(reader):
         return EXIT_FAILED
-    changes = table_files.changes_between(reader.tables, wanted)
+    changes = table_files.changes_between(reader.tables, desired)
     _print(table_text.plan_lines(reader.tables, changes))
     if dry_run or not changes:
         return 0
@@ -95,21 +95,24 @@
 
 def show(log_service: str, as_json: bool = False) -> int:
     """Print the tables in force; returns the exit status."""
-    force = _in_force(_log(log_service))
-    if force is None:
+    current = _read_current(_open_log(log_service))
+    if current is None:
         return EXIT_FAILED
-    _print([table_text.as_json(force)] if as_json else table_text.toml_lines(force))
+    _print([table_text.as_json(current)] if as_json else table_text.toml_lines(current))
     return 0
 
 
 def history(log_service: str, as_json: bool = False) -> int:
     """Print each record that is kept, with its verdict; returns the exit status."""
-    reader = TablesReader(_log(log_service))
+    reader = TablesReader(_open_log(log_service))
     line = table_text.history_json if as_json else table_text.history_line
     while True:
         stepped = reader.step()
         if not isinstance(stepped, Success):
-            print(f"The log gave no answer: {stepped.failure()}. {NO_LOG}", file=sys.stderr)
+            print(
+                f"The log gave no answer: {stepped.failure()}. {LOG_OUTAGE_HINT}",
+                file=sys.stderr,
+            )
             return EXIT_FAILED
         step = stepped.unwrap()
         if step.gap and not step.adopted:
@@ -129,7 +132,7 @@
     author: str,
     changes: Sequence[Change],
     in_parts: bool,
-    pause: Callable[[float], None],
+    sleep: Callable[[float], None],
 ) -> int:
     parts: Sequence[Sequence[Change]] = (
         editing.split_changes(changes) if in_parts else [changes]
@@ -140,13 +143,13 @@
         )
         if len(parts) > 1:
             print(f"Part {number} of {len(parts)}:")
-        status = report(edit, editing.submit(log, reader, edit, pause))
+        status = report_verdict(edit, editing.submit(log, reader, edit, sleep))
         if status:
             return status
     return 0
 
 
-def report(edit: Edit, result: Result[FoldResult, SubmitFailure]) -> int:
+def report_verdict(edit: Edit, result: Result[FoldResult, SubmitFailure]) -> int:
     """Print how an edit was judged; returns the exit status."""
     if not isinstance(result, Success):
         return _report_failure(edit, result.failure())
@@ -177,7 +180,7 @@
         "come into force; look for its id in the history before you apply again.",
         file=sys.stderr,
     )
-    return EXIT_UNKNOWN
+    return EXIT_OUTCOME_UNKNOWN
 
 
 def _read_files(paths: Sequence[str]) -> Tables | None:
@@ -188,12 +191,12 @@
     return None
 
 
-def _log(log_service: str) -> LogStore:
+def _open_log(log_service: str) -> LogStore:
     text = log_service or os.environ.get(LOG_VARIABLE, DEFAULT_LOG)
     return HttpLogStore(Address.parse(text))
 
 
-def _in_force(log: LogStore) -> Tables | None:
+def _read_current(log: LogStore) -> Tables | None:
     reader = TablesReader(log)
     return reader.tables if _read_to_end(reader) else None
 
@@ -202,11 +205,11 @@
     result = editing.read_to_end(reader)
     if isinstance(result, Success):
         return True
-    print(f"{result.failure()} {NO_LOG}", file=sys.stderr)
+    print(f"{result.failure()} {LOG_OUTAGE_HINT}", file=sys.stderr)
     return False
 
 
-def _refuse(reason: str) -> int:
+def _usage_error(reason: str) -> int:
     print(reason, file=sys.stderr)
     return EXIT_USAGE
 
--- a/agaterail/controllers/hosts.py
+++ b/agaterail/controllers/hosts.py
@@ -35,8 +35,8 @@
     def __init__(self, app: Application) -> None:
         self.app = app
         self.members: tuple[str, ...] = ()
-        app.peers.on_heard = self._on_heard
-        app.peers.on_missed = self._on_missed
+        app.peers.on_message_received = self._on_heard
+        app.peers.on_unanswered = self._on_missed
         app.peers.handle(Draining, self._on_draining)
         app.events.subscribe(ShutdownStarted, self._on_shutdown)
 
--- a/agaterail/controllers/transfers.py
+++ b/agaterail/controllers/transfers.py
@@ -43,7 +43,7 @@
         return {"exported_blocks": self.exported_blocks}
 
     def _export(self, store: KvStore, use: PrefixUse) -> None:
-        kept = store.kept(use.keys, STORE_QUERY_TIMEOUT_S)
+        kept = store.count_leading_keys(use.keys, STORE_QUERY_TIMEOUT_S)
         if not isinstance(kept, Success):
             return
         if kept.unwrap() < len(use.keys):
--- a/agaterail/engines/http.py
+++ b/agaterail/engines/http.py
@@ -28,14 +28,14 @@
 
     from agaterail.util.address import Address
 
-OK = 200
-STALE_FENCING = 409
-ACCEPTED = 202
+HTTP_OK = 200
+HTTP_CONFLICT = 409
+HTTP_ACCEPTED = 202
 CONTROL_TIMEOUT_S = 2.0
 TRANSFER_TIMEOUT_S = 5.0
 # Homes keep the leading bytes of a key; the rest of it would be most of what
 # an engine sends.
-SENT_BYTES = 8
+KEY_BYTES = 8
 
 
 class HttpEngineReply(EngineReply):
@@ -85,15 +85,15 @@
     def events(self, after: int, wait_s: float) -> Result[CacheEvents, str]:
         """Fetch the cache events after a sequence number, with the load."""
         path = (
-            f"/events?after={after}&wait_ms={int(wait_s * 1e3)}&load=1&key_bytes={SENT_BYTES}"
+            f"/events?after={after}&wait_ms={int(wait_s * 1e3)}&load=1&key_bytes={KEY_BYTES}"
         )
         fetched = self._fetch(path, CONTROL_TIMEOUT_S + wait_s)
-        return fetched.bind(_unpacked).bind(_parse_events)
+        return fetched.bind(_parse_msgpack).bind(_parse_events)
 
     def contents(self) -> Result[CacheContents, str]:
         """Fetch all cached keys."""
-        fetched = self._fetch(f"/cache?key_bytes={SENT_BYTES}", TRANSFER_TIMEOUT_S)
-        return fetched.bind(_unpacked).bind(_parse_contents)
+        fetched = self._fetch(f"/cache?key_bytes={KEY_BYTES}", TRANSFER_TIMEOUT_S)
+        return fetched.bind(_parse_msgpack).bind(_parse_contents)
 
     def order(self, order: EngineOrder) -> Result[OrderAnswer, str]:
         """Give an order; a failed call leaves open whether it was taken."""
@@ -111,9 +111,9 @@
             return Failure(str(answer.failure()))
         status, _ = answer.unwrap()
         answers = {
-            OK: OrderAnswer.DONE,
-            ACCEPTED: OrderAnswer.STARTED,
-            STALE_FENCING: OrderAnswer.STALE,
+            HTTP_OK: OrderAnswer.DONE,
+            HTTP_ACCEPTED: OrderAnswer.STARTED,
+            HTTP_CONFLICT: OrderAnswer.STALE,
         }
         return Success(answers.get(status, OrderAnswer.FAILED))
 
@@ -155,7 +155,7 @@
         timeout_s: float = CONTROL_TIMEOUT_S,
     ) -> Result[dict[str, Any], str]:
         body = b"" if fields is None else json.dumps(fields).encode()
-        return self._fetch(path, timeout_s, method, body).bind(_parsed)
+        return self._fetch(path, timeout_s, method, body).bind(_parse_json)
 
     def _fetch(
         self, path: str, timeout_s: float, method: str = "GET", body: bytes = b""
@@ -164,24 +164,24 @@
         if not isinstance(answer, Success):
             return Failure(str(answer.failure()))
         status, data = answer.unwrap()
-        return Success(data) if status == OK else Failure(f"status {status}")
+        return Success(data) if status == HTTP_OK else Failure(f"status {status}")
 
 
-def _parsed(data: bytes) -> Result[dict[str, Any], str]:
+def _parse_json(data: bytes) -> Result[dict[str, Any], str]:
     try:
-        return _object(json.loads(data))
+        return _require_object(json.loads(data))
     except ValueError as error:
         return Failure(f"malformed answer: {error}")
 
 
-def _unpacked(data: bytes) -> Result[dict[str, Any], str]:
+def _parse_msgpack(data: bytes) -> Result[dict[str, Any], str]:
     try:
-        return _object(msgpack.unpackb(data))
+        return _require_object(msgpack.unpackb(data))
     except Exception as error:  # msgpack raises many unrelated types
         return Failure(f"malformed answer: {error!r}")
 
 
-def _object(value: object) -> Result[dict[str, Any], str]:
+def _require_object(value: object) -> Result[dict[str, Any], str]:
     if not isinstance(value, dict):
         return Failure("malformed answer: not an object")
     return Success(value)
@@ -197,7 +197,7 @@
 def _parse_events(fields: dict[str, Any]) -> Result[CacheEvents, str]:
     try:
         events = [
-            CacheEvent(number, CacheEventKind(kind), _cut_keys(keys))
+            CacheEvent(number, CacheEventKind(kind), _split_keys(keys))
             for number, kind, keys in fields["events"]
         ]
         load = LoadReport(**fields["load"]) if "load" in fields else None
@@ -208,13 +208,13 @@
 
 def _parse_contents(fields: dict[str, Any]) -> Result[CacheContents, str]:
     try:
-        keys = _cut_keys(fields["keys"])
+        keys = _split_keys(fields["keys"])
         return Success(CacheContents(fields["incarnation"], fields["sequence"], keys))
     except (TypeError, KeyError, ValueError) as error:
         return Failure(f"malformed contents: {error}")
 
 
-def _cut_keys(joined: bytes) -> tuple[bytes, ...]:
+def _split_keys(joined: bytes) -> tuple[bytes, ...]:
     return tuple(
-        joined[start : start + SENT_BYTES] for start in range(0, len(joined), SENT_BYTES)
+        joined[start : start + KEY_BYTES] for start in range(0, len(joined), KEY_BYTES)
     )
--- a/agaterail/filters/choose.py
+++ b/agaterail/filters/choose.py
@@ -147,7 +147,9 @@
         depth = max((view.depth for view in placement.views.values()), default=0)
         if depth >= shared_blocks or not self.app.imports.usable(store.address, placement.now):
             return None
-        kept = store.kept(prefix.keys[:shared_blocks], KV_STORE_TIMEOUT_S).value_or(0)
+        kept = store.count_leading_keys(
+            prefix.keys[:shared_blocks], KV_STORE_TIMEOUT_S
+        ).value_or(0)
         return Source(store.address, kept) if kept else None
 
     def _proceed_with_notices(
--- a/agaterail/filters/claim.py
+++ b/agaterail/filters/claim.py
@@ -13,7 +13,7 @@
 from agaterail.errors import ErrorKind, Outcome
 from agaterail.exchange import Reply
 from agaterail.filters import Filter
-from agaterail.util.spread import spread
+from agaterail.util.jitter import jittered_retry_after_s
 
 if TYPE_CHECKING:
     from agaterail.application import Application
@@ -76,7 +76,9 @@
             verdict="none" if verdict is None else verdict.kind.value,
         )
         if verdict is None or verdict.kind is VerdictKind.UNAVAILABLE:
-            hint_s = spread(errors.ANSWERS[ErrorKind.CLAIMS_UNAVAILABLE], exchange.request_id)
+            hint_s = jittered_retry_after_s(
+                errors.ANSWERS[ErrorKind.CLAIMS_UNAVAILABLE], exchange.request_id
+            )
             return Failure(errors.Failure(ErrorKind.CLAIMS_UNAVAILABLE, retry_after_s=hint_s))
         if verdict.kind is VerdictKind.WON:
             exchange.answer_headers[SCOPE_HEADER] = "key"
--- a/agaterail/filters/limits.py
+++ b/agaterail/filters/limits.py
@@ -13,7 +13,7 @@
 from agaterail.filters import Filter
 from agaterail.limits import TokenBucket, concurrency_share, rate_share
 from agaterail.tables import PoolKind
-from agaterail.util.spread import spread
+from agaterail.util.jitter import jittered_retry_after_s
 
 if TYPE_CHECKING:
     from agaterail.application import Application
@@ -193,7 +193,7 @@
 
 
 def _refusal(kind: ErrorKind, exchange: Exchange, wait_s: float = 0.0) -> errors.Failure:
-    hint_s = spread(errors.ANSWERS[kind], exchange.request_id)
+    hint_s = jittered_retry_after_s(errors.ANSWERS[kind], exchange.request_id)
     return errors.Failure(kind, retry_after_s=wait_s + hint_s)
 
 
--- a/agaterail/homes.py
+++ b/agaterail/homes.py
@@ -32,14 +32,14 @@
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
         self.members: tuple[str, ...] = (own_address,)
-        self.ring = ring.Ring(self.members, DIGESTS_PER_MEMBER)
+        self.ring = ring.HashRing(self.members, DIGESTS_PER_MEMBER)
         self.homes: dict[str, str] = {}
 
     def home_of(self, engine: str) -> str:
         """Return the address of an engine's home."""
         home = self.homes.get(engine)
         if home is None:
-            position = self.ring.first(ring.number_of(engine.encode()))
+            position = self.ring.first_index(ring.hash_64(engine.encode()))
             home = self.homes[engine] = self.members[position]
         return home
 
@@ -52,7 +52,7 @@
         new_members = tuple(sorted({*members, self.own_address}))
         if new_members != self.members:
             self.members = new_members
-            self.ring = ring.Ring(new_members, DIGESTS_PER_MEMBER)
+            self.ring = ring.HashRing(new_members, DIGESTS_PER_MEMBER)
             self.homes.clear()
 
     def set_engines(self, engines: Iterable[str]) -> None:
--- a/agaterail/hostlists/http.py
+++ b/agaterail/hostlists/http.py
@@ -10,8 +10,8 @@
 from agaterail.util.address import Address
 from agaterail.util.httpconn import HttpConnections
 
-OK = 200
-NOT_MODIFIED = 304
+HTTP_OK = 200
+HTTP_NOT_MODIFIED = 304
 
 
 class HttpHostList(HostList):
@@ -39,12 +39,12 @@
         except Exception as error:  # parse errors and socket errors
             response.discard()
             return Failure(str(error))
-        if response.status_code == NOT_MODIFIED and self.etag:
+        if response.status_code == HTTP_NOT_MODIFIED and self.etag:
             return Success(self.hosts)
-        if response.status_code != OK:
+        if response.status_code != HTTP_OK:
             return Failure(f"status {response.status_code}")
         try:
-            hosts = tuple(_host_of(fields) for fields in json.loads(body)["hosts"])
+            hosts = tuple(_parse_host(fields) for fields in json.loads(body)["hosts"])
         except (ValueError, KeyError, TypeError) as error:
             return Failure(f"malformed list: {error!r}")
         self.hosts = hosts
@@ -52,7 +52,7 @@
         return Success(hosts)
 
 
-def _host_of(fields: dict[str, str]) -> Host:
+def _parse_host(fields: dict[str, str]) -> Host:
     return Host(
         fields["address"],
         HostRole(fields["role"]),
--- a/agaterail/kvstores/__init__.py
+++ b/agaterail/kvstores/__init__.py
@@ -23,5 +23,5 @@
     address: str
 
     @abc.abstractmethod
-    def kept(self, keys: Sequence[bytes], timeout_s: float) -> Result[int, str]:
+    def count_leading_keys(self, keys: Sequence[bytes], timeout_s: float) -> Result[int, str]:
         """Return how many of the leading keys the store holds."""
--- a/agaterail/kvstores/http.py
+++ b/agaterail/kvstores/http.py
@@ -15,7 +15,7 @@
 
     from agaterail.util.address import Address
 
-OK = 200
+HTTP_OK = 200
 
 
 class HttpKvStore(KvStore):
@@ -25,14 +25,14 @@
         self.address = str(address)
         self.connections = HttpConnections(address)
 
-    def kept(self, keys: Sequence[bytes], timeout_s: float) -> Result[int, str]:
+    def count_leading_keys(self, keys: Sequence[bytes], timeout_s: float) -> Result[int, str]:
         """Return how many of the leading keys the store holds."""
         body = json.dumps({"keys": [key.hex() for key in keys]}).encode()
         answer = self.connections.call("POST", "/blocks/has", body, timeout_s=timeout_s)
         if not isinstance(answer, Success):
             return Failure(str(answer.failure()))
         status, data = answer.unwrap()
-        if status != OK:
+        if status != HTTP_OK:
             return Failure(f"status {status}")
         try:
             return Success(int(json.loads(data)["blocks"]))
--- a/agaterail/logstore/http.py
+++ b/agaterail/logstore/http.py
@@ -9,9 +9,9 @@
 from agaterail.util.address import Address
 from agaterail.util.httpconn import ConnectFailed, HttpConnections
 
-THROTTLED = 429
-TOO_LARGE = 413
-OK = 200
+HTTP_TOO_MANY_REQUESTS = 429
+HTTP_CONTENT_TOO_LARGE = 413
+HTTP_OK = 200
 
 
 class HttpLogStore(LogStore):
@@ -27,10 +27,10 @@
             "POST", f"/streams/{stream}/append", data, timeout_s=self.timeout_s
         )
         if not isinstance(answer, Success):
-            return Failure(_error_of(answer.failure()))
+            return Failure(_transport_error(answer.failure()))
         status, body = answer.unwrap()
-        if status != OK:
-            return Failure(_refusal(status))
+        if status != HTTP_OK:
+            return Failure(_status_error(status))
         return Success(msgpack.unpackb(body)["offset"])
 
     def read(
@@ -42,25 +42,25 @@
         )
         answer = self.connections.call("GET", path, timeout_s=self.timeout_s + wait_s)
         if not isinstance(answer, Success):
-            return Failure(_error_of(answer.failure()))
+            return Failure(_transport_error(answer.failure()))
         status, body = answer.unwrap()
-        if status != OK:
-            return Failure(_refusal(status))
+        if status != HTTP_OK:
+            return Failure(_status_error(status))
         fields = msgpack.unpackb(body)
         records = [LogRecord(number, data) for number, data in fields["records"]]
         return Success(LogSlice(records, fields["first"], fields["end"]))
 
 
-def _error_of(error: object) -> LogError:
+def _transport_error(error: object) -> LogError:
     if isinstance(error, ConnectFailed):
         return LogError(LogErrorKind.DOWN, error.reason)
     return LogError(LogErrorKind.UNANSWERED, str(error))
 
 
-def _refusal(status: int) -> LogError:
-    if status == THROTTLED:
+def _status_error(status: int) -> LogError:
+    if status == HTTP_TOO_MANY_REQUESTS:
         return LogError(LogErrorKind.THROTTLED)
-    if status == TOO_LARGE:
+    if status == HTTP_CONTENT_TOO_LARGE:
         return LogError(LogErrorKind.TOO_LARGE)
     # 503 is sent before the record is looked at; any other status says nothing.
     kind = LogErrorKind.DOWN if status == 503 else LogErrorKind.UNANSWERED
--- a/agaterail/logstore/memory.py
+++ b/agaterail/logstore/memory.py
@@ -52,13 +52,13 @@
         """Read records from an offset on; never waits."""
         if self.down:
             return Failure(LogError(LogErrorKind.DOWN))
-        kept = self.streams.get(stream, [])
-        first = kept[0].offset if kept else self.next_offset.get(stream, 0)
+        stored = self.streams.get(stream, [])
+        first = stored[0].offset if stored else self.next_offset.get(stream, 0)
         end = max(first, self.next_offset.get(stream, 0) - self.stale_records)
-        records = [record for record in kept if offset <= record.offset < end][:limit]
+        records = [record for record in stored if offset <= record.offset < end][:limit]
         return Success(LogSlice(records, first, end))
 
     def expire(self, stream: str, before: int) -> None:
         """Drop the records below an offset."""
-        kept = self.streams.get(stream, [])
-        self.streams[stream] = [record for record in kept if record.offset >= before]
+        stored = self.streams.get(stream, [])
+        self.streams[stream] = [record for record in stored if record.offset >= before]
--- a/agaterail/peers/__init__.py
+++ b/agaterail/peers/__init__.py
@@ -33,43 +33,43 @@
 # Daemons of two releases whose fields differ do not understand each other's
 # message, which costs a hint or makes a call fail; both have their fallback.
 converter = make_converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
-MESSAGES: dict[str, type] = {}
-BUSY = "too many calls in flight"
+MESSAGE_TYPES: dict[str, type] = {}
+TOO_MANY_CALLS = "too many calls in flight"
 
 
 def peer_message(kind: type[M]) -> type[M]:
     """Register an attrs class as a message under its own name."""
-    MESSAGES[kind.__name__] = kind
+    MESSAGE_TYPES[kind.__name__] = kind
     return kind
 
 
 @functools.cache
-def resolved(kind: type[M]) -> type[M]:
+def resolve_annotations(kind: type[M]) -> type[M]:
     """Return a class with its annotations made types in place of texts.
 
     cattrs does that by itself for classes read by name, but not by place.
     """
-    _resolve(kind)
+    _resolve_field_types(kind)
     return kind
 
 
-def fields_of(message: Any) -> Any:
+def encode_fields(message: Any) -> Any:
     """Return the fields of a message by place."""
-    return converter.unstructure(message, resolved(type(message)))  # type: ignore[arg-type]
+    return converter.unstructure(message, resolve_annotations(type(message)))  # type: ignore[arg-type]
 
 
-def message_of(kind: Any, fields: Any) -> Any:
+def decode_message(kind: Any, fields: Any) -> Any:
     """Return the message of fields; raises what cattrs raises."""
-    return converter.structure(fields, resolved(kind))
+    return converter.structure(fields, resolve_annotations(kind))
 
 
-def _resolve(kind: Any) -> None:
+def _resolve_field_types(kind: Any) -> None:
     if attrs.has(kind):
         attrs.resolve_types(kind)
         for field in attrs.fields(kind):
-            _resolve(field.type)
+            _resolve_field_types(field.type)
     for argument in typing.get_args(kind):
-        _resolve(argument)
+        _resolve_field_types(argument)
 
 
 class Transport(abc.ABC):
@@ -86,11 +86,11 @@
         """Stop receiving."""
 
     @abc.abstractmethod
-    def ask(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
+    def request(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
         """Send and wait for the answer."""
 
     @abc.abstractmethod
-    def tell(self, address: str, data: bytes) -> None:
+    def send(self, address: str, data: bytes) -> None:
         """Send without an answer."""
 
 
@@ -113,10 +113,10 @@
         self.own_address = own_address
         self.calls = calls
         self.datagrams = datagrams
-        self.key = envelope.key_of(secret)
+        self.key = envelope.derive_key(secret)
         self.handlers: dict[type, Callable[[str, Any], object]] = {}
-        self.on_heard: Callable[[str], None] = lambda address: None
-        self.on_missed: Callable[[str, bool], None] = lambda address, is_call: None
+        self.on_message_received: Callable[[str], None] = lambda address: None
+        self.on_unanswered: Callable[[str, bool], None] = lambda address, is_call: None
         self.sent_messages = 0
         self.sent_bytes = 0
         calls.receive = self.receive
@@ -138,60 +138,60 @@
 
     def call(self, address: str, message: object, timeout_s: float = 1.0) -> Result[Any, str]:
         """Send a message that must arrive and return the answer."""
-        return self._ask(self.calls, address, message, timeout_s)
+        return self._request(self.calls, address, message, timeout_s)
 
     def query(self, address: str, message: object, timeout_s: float) -> Result[Any, str]:
         """Ask for a hint by datagram; an answer may never come."""
-        return self._ask(self.datagrams, address, message, timeout_s)
+        return self._request(self.datagrams, address, message, timeout_s)
 
     def notify(self, address: str, message: object) -> None:
         """Send a hint by datagram and forget it."""
         if address == self.own_address:
             self._dispatch(address, message)
             return
-        self.datagrams.tell(address, self._seal(message))
+        self.datagrams.send(address, self._encode(message))
 
     def receive(self, _source: str, data: bytes) -> bytes | None:
         """Handle a sealed message and return the sealed answer."""
-        opened = self._open(data)
-        if not isinstance(opened, Success):
-            logger.warning("Drops a message.", reason=opened.failure())
+        decoded = self._decode(data)
+        if not isinstance(decoded, Success):
+            logger.warning("Drops a message.", reason=decoded.failure())
             return None
-        sender, message = opened.unwrap()
-        self.on_heard(sender)
+        sender, message = decoded.unwrap()
+        self.on_message_received(sender)
         answer = self._dispatch(sender, message)
-        return None if answer is None else self._seal(answer)
+        return None if answer is None else self._encode(answer)
 
-    def _ask(
+    def _request(
         self, transport: Transport, address: str, message: object, timeout_s: float
     ) -> Result[Any, str]:
         if address == self.own_address:
             return Success(self._dispatch(address, message))
-        answered = transport.ask(address, self._seal(message), timeout_s)
+        answered = transport.request(address, self._encode(message), timeout_s)
         if isinstance(answered, Success):
-            self.on_heard(address)
-        elif answered.failure() != BUSY:
-            self.on_missed(address, transport is self.calls)
-        return answered.bind(self._open).map(lambda opened: opened[1])
+            self.on_message_received(address)
+        elif answered.failure() != TOO_MANY_CALLS:
+            self.on_unanswered(address, transport is self.calls)
+        return answered.bind(self._decode).map(lambda decoded: decoded[1])
 
     def _dispatch(self, sender: str, message: object) -> object:
         handler = self.handlers.get(type(message))
         return None if handler is None else handler(sender, message)
 
-    def _seal(self, message: Any) -> bytes:
-        fields = fields_of(message)
+    def _encode(self, message: Any) -> bytes:
+        fields = encode_fields(message)
         body = msgpack.packb([self.own_address, type(message).__name__, fields])
-        sealed = envelope.seal(self.key, body)
+        signed = envelope.sign(self.key, body)
         self.sent_messages += 1
-        self.sent_bytes += len(sealed)
-        return sealed
+        self.sent_bytes += len(signed)
+        return signed
 
-    def _open(self, data: bytes) -> Result[tuple[str, Any], str]:
-        body = envelope.open_sealed(self.key, data)
+    def _decode(self, data: bytes) -> Result[tuple[str, Any], str]:
+        body = envelope.verify(self.key, data)
         if body is None:
             return Failure("wrong secret or damaged")
         try:
             sender, name, fields = msgpack.unpackb(body)
-            return Success((sender, message_of(MESSAGES[name], fields)))
+            return Success((sender, decode_message(MESSAGE_TYPES[name], fields)))
         except Exception as error:  # msgpack and cattrs raise many unrelated types
             return Failure(f"{type(error).__name__}: {error}")
--- a/agaterail/peers/datagram.py
+++ b/agaterail/peers/datagram.py
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from typing import Any
 
-QUESTION = b"q"
-ANSWER = b"a"
+QUERY = b"q"
+REPLY = b"a"
 NOTICE = b"n"
-NUMBER_BYTES = 4
-HEAD_BYTES = 1 + NUMBER_BYTES
-MAX_NUMBER = 1 << 32
+SEQUENCE_BYTES = 4
+HEADER_BYTES = 1 + SEQUENCE_BYTES
+SEQUENCE_COUNT = 1 << 32
 MAX_DATAGRAM_BYTES = 60_000
 
 
@@ -31,8 +31,8 @@
     def __init__(self, address: Address) -> None:
         self.address = address
         self.server = DatagramServer((address.host, address.port), self._on_datagram)
-        self.numbers = itertools.count()
-        self.waiting: dict[bytes, AsyncResult] = {}
+        self.sequence_numbers = itertools.count()
+        self.pending: dict[bytes, AsyncResult] = {}
 
     def start(self) -> None:
         """Bind the socket and receive."""
@@ -42,41 +42,43 @@
         """Close the socket."""
         self.server.stop()
 
-    def ask(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
+    def request(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
         """Send a question and wait for its answer."""
-        number = (next(self.numbers) % MAX_NUMBER).to_bytes(NUMBER_BYTES, "big")
+        sequence = (next(self.sequence_numbers) % SEQUENCE_COUNT).to_bytes(
+            SEQUENCE_BYTES, "big"
+        )
         answer: AsyncResult[bytes] = AsyncResult()
-        self.waiting[number] = answer
+        self.pending[sequence] = answer
         try:
-            self._send(QUESTION + number + data, address)
+            self._send(QUERY + sequence + data, address)
             return Success(answer.get(timeout=timeout_s))
         except gevent.Timeout:
             return Failure("no answer in time")
         except (OSError, ValueError) as error:
             return Failure(str(error))
         finally:
-            self.waiting.pop(number, None)
+            self.pending.pop(sequence, None)
 
-    def tell(self, address: str, data: bytes) -> None:
+    def send(self, address: str, data: bytes) -> None:
         """Send a notice; a full buffer or a closed port loses it."""
         try:
-            self._send(NOTICE + bytes(NUMBER_BYTES) + data, address)
+            self._send(NOTICE + bytes(SEQUENCE_BYTES) + data, address)
         except (OSError, ValueError):
             return
 
     def _send(self, data: bytes, address: str) -> None:
         if len(data) > MAX_DATAGRAM_BYTES:
             raise ValueError("the message is too large for a datagram")
-        place = Address.parse(address)
-        self.server.sendto(data, (place.host, place.port))
+        parsed = Address.parse(address)
+        self.server.sendto(data, (parsed.host, parsed.port))
 
     def _on_datagram(self, data: bytes, source: Any) -> None:
-        kind, number, body = data[:1], data[1:HEAD_BYTES], data[HEAD_BYTES:]
-        if kind == ANSWER:
-            waiting = self.waiting.pop(number, None)
-            if waiting is not None:
-                waiting.set(body)
+        kind, sequence, body = data[:1], data[1:HEADER_BYTES], data[HEADER_BYTES:]
+        if kind == REPLY:
+            reply = self.pending.pop(sequence, None)
+            if reply is not None:
+                reply.set(body)
             return
         answer = self.receive(str(source), body)
-        if kind == QUESTION and answer is not None and len(answer) <= MAX_DATAGRAM_BYTES:
-            self.server.sendto(ANSWER + number + answer, source)
+        if kind == QUERY and answer is not None and len(answer) <= MAX_DATAGRAM_BYTES:
+            self.server.sendto(REPLY + sequence + answer, source)
--- a/agaterail/peers/grpc.py
+++ b/agaterail/peers/grpc.py
@@ -17,14 +17,14 @@
 from gevent.lock import BoundedSemaphore
 from returns.result import Failure, Result, Success
 
-from agaterail.peers import BUSY, Transport
+from agaterail.peers import TOO_MANY_CALLS, Transport
 
 if TYPE_CHECKING:
     from agaterail.settings import Settings
     from agaterail.util.address import Address
 
 METHOD = "/agaterail.Peers/Call"
-WORKERS = 8
+SERVER_THREADS = 8
 MAX_CALLS_IN_FLIGHT = 4
 MAX_MESSAGE_BYTES = 32 * 1024 * 1024
 OPTIONS = (
@@ -46,14 +46,14 @@
     @classmethod
     def read(cls, settings: Settings) -> TlsFiles | None:
         """Read the files that the settings name, or return None if they name none."""
-        names = (
+        paths = (
             settings.peer_tls_certificate,
             settings.peer_tls_key,
             settings.peer_tls_authority,
         )
-        if not all(names):
+        if not all(paths):
             return None
-        return cls(*(pathlib.Path(name or "").read_bytes() for name in names))
+        return cls(*(pathlib.Path(path or "").read_bytes() for path in paths))
 
 
 class GrpcTransport(Transport):
@@ -88,7 +88,7 @@
         """
         handler = grpc.unary_unary_rpc_method_handler(self._serve)
         service, _, method = METHOD.strip("/").partition("/")
-        server = grpc.server(futures.ThreadPoolExecutor(WORKERS), options=OPTIONS)
+        server = grpc.server(futures.ThreadPoolExecutor(SERVER_THREADS), options=OPTIONS)
         server.add_generic_rpc_handlers(
             (grpc.method_handlers_generic_handler(service, {method: handler}),)
         )
@@ -106,10 +106,10 @@
         for channel in self.channels.values():
             channel.close()
 
-    def ask(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
+    def request(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
         """Call a peer and wait for its answer."""
         if not self.in_flight.acquire(timeout=timeout_s):
-            return Failure(BUSY)
+            return Failure(TOO_MANY_CALLS)
         try:
             answer = self._channel(address).unary_unary(METHOD)(data, timeout=timeout_s)
         except grpc.RpcError as error:
@@ -118,9 +118,9 @@
             self.in_flight.release()
         return Success(answer) if answer else Failure("refused")
 
-    def tell(self, address: str, data: bytes) -> None:
+    def send(self, address: str, data: bytes) -> None:
         """Call a peer and ignore the answer."""
-        self.ask(address, data, 1.0)
+        self.request(address, data, 1.0)
 
     def _channel(self, address: str) -> grpc.Channel:
         channel = self.channels.get(address)
--- a/agaterail/peers/memory.py
+++ b/agaterail/peers/memory.py
@@ -12,13 +12,13 @@
 
     Attributes
     ----------
-    cut
+    blocked_links
         Pairs of sender and receiver between which nothing arrives.
     """
 
     def __init__(self) -> None:
         self.transports: dict[str, MemoryTransport] = {}
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked_links: set[tuple[str, str]] = set()
         self.messages = 0
 
 
@@ -37,17 +37,17 @@
         """Stop receiving."""
         self.network.transports.pop(self.address, None)
 
-    def ask(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
+    def request(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
         """Send and return the answer at once."""
         receiver = self._receiver(address)
         if receiver is None:
             return Failure("no answer")
         answer = receiver.receive(self.address, data)
-        if answer is None or (address, self.address) in self.network.cut:
+        if answer is None or (address, self.address) in self.network.blocked_links:
             return Failure("no answer")
         return Success(answer)
 
-    def tell(self, address: str, data: bytes) -> None:
+    def send(self, address: str, data: bytes) -> None:
         """Send without an answer."""
         receiver = self._receiver(address)
         if receiver is not None:
@@ -55,6 +55,6 @@
 
     def _receiver(self, address: str) -> MemoryTransport | None:
         self.network.messages += 1
-        if (self.address, address) in self.network.cut:
+        if (self.address, address) in self.network.blocked_links:
             return None
         return self.network.transports.get(address)
--- a/agaterail/platform/cacheevents.py
+++ b/agaterail/platform/cacheevents.py
@@ -15,9 +15,9 @@
 
 CONNECT_TIMEOUT_S = 0.3
 # Beyond the wait that was asked for.
-ANSWER_SLACK_S = 0.6
-OK = 200
-MS = 1e-3
+LONG_POLL_MARGIN_S = 0.6
+HTTP_OK = 200
+S_PER_MS = 1e-3
 # Number, sign, scope, part, tokens held now, model.
 EVENT_FIELDS = 6
 
@@ -33,21 +33,21 @@
         called = self.stores.to(address).call(
             "GET",
             f"{names.CACHE_EVENTS_PATH}?since={since}",
-            headers={names.WAIT: str(int(wait_s / MS))},
-            timeout_s=wait_s + ANSWER_SLACK_S,
+            headers={names.WAIT_MS: str(int(wait_s / S_PER_MS))},
+            timeout_s=wait_s + LONG_POLL_MARGIN_S,
         )
         if not isinstance(called, Success):
             return Failure(called.failure().reason)
         status, body = called.unwrap()
-        if status != OK:
+        if status != HTTP_OK:
             return Failure(f"status {status}")
         try:
-            return Success(decode_news(body))
+            return Success(decode_cache_changes(body))
         except ValueError as error:  # MalformedError and JSON errors
             return Failure(str(error))
 
 
-def decode_news(body: bytes) -> CacheChangeBatch:
+def decode_cache_changes(body: bytes) -> CacheChangeBatch:
     """Return the changes in an answer.
 
     Raises
@@ -55,16 +55,16 @@
     ValueError
         If it is none.
     """
-    found = fields.table(json.loads(body), "the answer")
-    events = fields.rows(found, "events")
+    answer = fields.json_object(json.loads(body), "the answer")
+    events = fields.array(answer, "events")
     return CacheChangeBatch(
-        epoch=fields.whole(found, "boot_epoch"),
-        next_number=fields.whole(found, "next"),
-        changes=tuple(_change(event) for event in events),
+        epoch=fields.integer(answer, "boot_epoch"),
+        next_number=fields.integer(answer, "next"),
+        changes=tuple(_decode_change(event) for event in events),
     )
 
 
-def _change(event: Any) -> CacheChange:
+def _decode_change(event: Any) -> CacheChange:
     if not isinstance(event, list) or len(event) < EVENT_FIELDS:
         raise MalformedError("an event is no list of six")
     sign, scope, part = event[1:4]
--- a/agaterail/platform/desired.py
+++ b/agaterail/platform/desired.py
@@ -31,10 +31,10 @@
 
 logger = logs.get_logger("desired")
 
-MS = 1e-3
-NULL = b"null"
-ROWS_PER_TURN = 32
-KINDS = {
+S_PER_MS = 1e-3
+JSON_NULL = b"null"
+ROWS_PER_YIELD = 32
+REQUEST_KINDS = {
     "safe": RequestKind.SAFE,
     "unsafe": RequestKind.UNSAFE,
     # A kind that is not known here may not be repeated.
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class NamedWeights:
+class DesiredWeights:
     """Weights version that the operators want of a model."""
 
     model: str
@@ -65,146 +65,153 @@
     def decode(self, document: Document) -> Result[DesiredState, str]:
         """Return the desired state of a document; rows that are malformed are left out."""
         try:
-            found = _members(document)
-            services = self._rows(document, "services", _service)
+            members = _decode_members(document)
+            services = self._decode_rows(document, "services", _decode_service)
             return Success(
                 DesiredState(
-                    version=fields.whole(found, "version"),
-                    routes=tuple(self._rows(document, "routes", _route)),
+                    version=fields.integer(members, "version"),
+                    routes=tuple(self._decode_rows(document, "routes", _decode_route)),
                     services={
                         item.name: item for item in services if isinstance(item, Service)
                     },
                     kv_stores=tuple(
                         item for item in services if isinstance(item, KvStoreSpec)
                     ),
-                    workspaces=tuple(self._rows(document, "tenants", _workspace)),
-                    limits=_limits(found),
+                    workspaces=tuple(
+                        self._decode_rows(document, "tenants", _decode_workspace)
+                    ),
+                    limits=_decode_limits(members),
                 )
             )
         except ValueError as error:  # MalformedError and JSON errors
             return Failure(str(error))
 
-    def _rows(
+    def _decode_rows(
         self, document: Document, name: str, decode: Callable[[dict[str, Any]], Any]
     ) -> list[Any]:
-        if document.members.get(name, NULL) != NULL:
+        if document.members.get(name, JSON_NULL) != JSON_NULL:
             raise MalformedError(f"{name} is no list")
-        former = self.rows.get(name, {})
+        previous = self.rows.get(name, {})
         rows: dict[bytes, Any] = {}
         for number, row in enumerate(document.tables.get(name, ())):
-            if row in former:
-                rows[row] = former[row]
+            if row in previous:
+                rows[row] = previous[row]
                 continue
-            rows[row] = _decoded_row(name, row, decode)
-            if number % ROWS_PER_TURN == 0:
+            rows[row] = _decode_row(name, row, decode)
+            if number % ROWS_PER_YIELD == 0:
                 # Thousands of new rows take long; requests go on in between.
                 gevent.sleep(0.0)
         self.rows[name] = rows
-        found = (rows[row] for row in document.tables.get(name, ()))
-        return [item for item in found if item is not None]
+        decoded = (rows[row] for row in document.tables.get(name, ()))
+        return [item for item in decoded if item is not None]
 
 
-def decode_weights(document: Document) -> Result[NamedWeights, str]:
+def decode_weights(document: Document) -> Result[DesiredWeights, str]:
     """Return the weights that a record names."""
     try:
-        found = _members(document)
+        members = _decode_members(document)
         return Success(
-            NamedWeights(fields.text(found, "model"), fields.whole(found, "version"))
+            DesiredWeights(fields.string(members, "model"), fields.integer(members, "version"))
         )
     except ValueError as error:
         return Failure(str(error))
 
 
-def _members(document: Document) -> dict[str, Any]:
+def _decode_members(document: Document) -> dict[str, Any]:
     return {name: json.loads(text) for name, text in document.members.items()}
 
 
-def _decoded_row(name: str, row: bytes, decode: Callable[[dict[str, Any]], Any]) -> Any:
+def _decode_row(name: str, row: bytes, decode: Callable[[dict[str, Any]], Any]) -> Any:
     """Return what a row says; None if it is malformed."""
     try:
-        return decode(fields.table(json.loads(row), "the row"))
+        return decode(fields.json_object(json.loads(row), "the row"))
     except ValueError as error:  # MalformedError and JSON errors
         logger.warning("Left out a row.", table=name, reason=str(error))
         return None
 
 
-def _route(row: dict[str, Any]) -> Route:
+def _decode_route(row: dict[str, Any]) -> Route:
     # The wire's name for a split is a list of services; a route without a
     # split names its only service directly.
     shares = tuple(
-        ServiceShare(fields.text(part, "service"), fields.number(part, "weight"))
+        ServiceShare(fields.string(part, "service"), fields.number(part, "weight"))
         for part in (
-            fields.table(item, "a share") for item in fields.rows(row, "traffic_split")
+            fields.json_object(item, "a share") for item in fields.array(row, "traffic_split")
         )
     )
     if not any(share.weight > 0 for share in shares):
-        shares = (ServiceShare(fields.text(row, "service"), 1.0),)
-    kind = KINDS.get(fields.text(row, "kind"))
+        shares = (ServiceShare(fields.string(row, "service"), 1.0),)
+    kind = REQUEST_KINDS.get(fields.string(row, "kind"))
     if kind is None:
         raise MalformedError("kind is unknown")
     return Route(
-        name=fields.text(row, "name"),
-        host=fields.text(row, "host").lower(),
-        path_prefix=fields.text(row, "path_prefix").encode(),
+        name=fields.string(row, "name"),
+        host=fields.string(row, "host").lower(),
+        path_prefix=fields.string(row, "path_prefix").encode(),
         kind=kind,
         shares=shares,
-        timeout_s=fields.number(row, "timeout_ms") * MS,
-        objective_s=fields.number(row, "target_latency_ms") * MS,
-        gap_objective_s=fields.number(row, "gap_aim_ms", 0.0) * MS,
-        priority=fields.whole(row, "priority", 0),
-        max_attempts=max(1, fields.whole(row, "max_attempts", 1)),
-        public=fields.flag(row, "public"),
-        prompted=fields.flag(row, "sticky"),
-        resumable=fields.flag(row, "resumable"),
+        timeout_s=fields.number(row, "timeout_ms") * S_PER_MS,
+        objective_s=fields.number(row, "target_latency_ms") * S_PER_MS,
+        gap_objective_s=fields.number(row, "gap_aim_ms", 0.0) * S_PER_MS,
+        priority=fields.integer(row, "priority", 0),
+        max_attempts=max(1, fields.integer(row, "max_attempts", 1)),
+        public=fields.boolean(row, "public"),
+        prompted=fields.boolean(row, "sticky"),
+        resumable=fields.boolean(row, "resumable"),
     )
 
 
-def _service(row: dict[str, Any]) -> Service | KvStoreSpec:
-    name = fields.text(row, "name")
+def _decode_service(row: dict[str, Any]) -> Service | KvStoreSpec:
+    name = fields.string(row, "name")
     if row.get("kv_store_addr"):
         return KvStoreSpec(
             name=name,
-            address=fields.text(row, "kv_store_addr"),
-            domain=fields.text(row, "zone"),
+            address=fields.string(row, "kv_store_addr"),
+            domain=fields.string(row, "zone"),
             link_mbps=fields.number(row, "link_mbps", 0.0),
         )
     engine = row.get("engine")
     return Service(
         name=name,
-        max_connections=fields.whole(row, "max_conns", 0),
-        engine=None if engine is None else _engine(fields.table(engine, "engine")),
+        max_connections=fields.integer(row, "max_conns", 0),
+        engine=None
+        if engine is None
+        else _decode_engine(fields.json_object(engine, "engine")),
     )
 
 
-def _engine(row: dict[str, Any]) -> EngineTraits:
-    models = (fields.table(item, "a model") for item in fields.rows(row, "models"))
+def _decode_engine(row: dict[str, Any]) -> EngineTraits:
+    models = (fields.json_object(item, "a model") for item in fields.array(row, "models"))
     return EngineTraits(
-        slots=fields.whole(row, "slots", 0),
-        kv_tokens=fields.whole(row, "kv_capacity", 0),
+        slots=fields.integer(row, "slots", 0),
+        kv_tokens=fields.integer(row, "kv_capacity", 0),
         kv_bytes_per_token=fields.number(row, "kv_bytes", 0.0),
         link_mbps=fields.number(row, "link_mbps", 0.0),
-        models=tuple(fields.text(item, "name") for item in models),
+        models=tuple(fields.string(item, "name") for item in models),
     )
 
 
-def _workspace(row: dict[str, Any]) -> Workspace:
-    keys = fields.rows(row, "api_keys")
+def _decode_workspace(row: dict[str, Any]) -> Workspace:
+    keys = fields.array(row, "api_keys")
     priority = row.get("priority")
     return Workspace(
-        name=fields.text(row, "name"),
+        name=fields.string(row, "name"),
         api_keys=tuple(key for key in keys if isinstance(key, str) and key),
-        priority=None if priority is None else fields.whole(row, "priority"),
-        isolated=fields.flag(row, "isolated"),
+        priority=None if priority is None else fields.integer(row, "priority"),
+        isolated=fields.boolean(row, "isolated"),
     )
 
 
-def _limits(found: dict[str, Any]) -> CallerLimits:
-    row = fields.table(found.get("limits") or {}, "limits")
+def _decode_limits(members: dict[str, Any]) -> CallerLimits:
+    row = fields.json_object(members.get("limits") or {}, "limits")
     default = CallerLimits()
     return CallerLimits(
-        max_header_bytes=fields.whole(row, "max_header_bytes", default.max_header_bytes),
-        max_body_bytes=fields.whole(row, "max_body_bytes", default.max_body_bytes),
-        header_timeout_s=fields.number(row, "header_timeout_ms", default.header_timeout_s / MS)
-        * MS,
-        idle_timeout_s=fields.number(row, "idle_timeout_ms", default.idle_timeout_s / MS) * MS,
+        max_header_bytes=fields.integer(row, "max_header_bytes", default.max_header_bytes),
+        max_body_bytes=fields.integer(row, "max_body_bytes", default.max_body_bytes),
+        header_timeout_s=fields.number(
+            row, "header_timeout_ms", default.header_timeout_s / S_PER_MS
+        )
+        * S_PER_MS,
+        idle_timeout_s=fields.number(row, "idle_timeout_ms", default.idle_timeout_s / S_PER_MS)
+        * S_PER_MS,
     )
--- a/agaterail/platform/engines.py
+++ b/agaterail/platform/engines.py
@@ -21,8 +21,8 @@
 # Engines are milliseconds away; one that is silent for so long is cut off.
 CONNECT_TIMEOUT_S = 0.3
 ANSWER_TIMEOUT_S = 0.6
-OK = 200
-OUTCOMES = {
+HTTP_OK = 200
+OUTCOME_BY_STATUS = {
     200: OrderOutcome.ALREADY_LOADED,
     202: OrderOutcome.ACCEPTED,
     400: OrderOutcome.UNKNOWN_VERSION,
@@ -30,7 +30,7 @@
     412: OrderOutcome.FENCED,
     421: OrderOutcome.OTHER_TARGET,
 }
-MODES = {InFlightPolicy.FINISH_FIRST: "wait", InFlightPolicy.CONTINUE: "keep"}
+ORDER_MODES = {InFlightPolicy.FINISH_FIRST: "wait", InFlightPolicy.CONTINUE: "keep"}
 
 
 class PlatformEngines(EngineControl):
@@ -46,7 +46,7 @@
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         status, body = answer.unwrap()
-        if status != OK:
+        if status != HTTP_OK:
             return Failure(f"status {status}")
         try:
             return Success(_decode_report(body))
@@ -59,7 +59,7 @@
             "op": "version",
             "model": order.model,
             "version": order.version,
-            "mode": MODES[order.in_flight_policy],
+            "mode": ORDER_MODES[order.in_flight_policy],
             "holder": order.host,
             "fence": order.fencing,
             # The wire's "expect" is a count of orders, not an instance.
@@ -69,7 +69,7 @@
         if not isinstance(answer, Success):
             return OrderOutcome.UNANSWERED
         status, _ = answer.unwrap()
-        return OUTCOMES.get(status, OrderOutcome.UNANSWERED)
+        return OUTCOME_BY_STATUS.get(status, OrderOutcome.UNANSWERED)
 
     def _call(
         self, target: Target, method: str, path: str, body: bytes
@@ -86,13 +86,15 @@
 
 
 def _decode_report(body: bytes) -> EngineReport:
-    found = fields.table(json.loads(body), "the report")
-    models = (fields.table(item, "a model") for item in fields.rows(found, "models"))
+    decoded = fields.json_object(json.loads(body), "the report")
+    models = (fields.json_object(item, "a model") for item in fields.array(decoded, "models"))
     return EngineReport(
-        loading=fields.flag(found, "busy"),
+        loading=fields.boolean(decoded, "busy"),
         # On the wire this is called a sequence number; it counts orders.
-        orders_accepted=fields.whole(found, "seq_no"),
-        waiting=fields.whole(found, "waiting", 0),
-        running=fields.whole(found, "running", 0),
-        weights={fields.text(item, "name"): fields.whole(item, "version") for item in models},
+        orders_accepted=fields.integer(decoded, "seq_no"),
+        waiting=fields.integer(decoded, "waiting", 0),
+        running=fields.integer(decoded, "running", 0),
+        weights={
+            fields.string(item, "name"): fields.integer(item, "version") for item in models
+        },
     )
--- a/agaterail/platform/feedrecords.py
+++ b/agaterail/platform/feedrecords.py
@@ -36,17 +36,17 @@
 
 logger = logs.get_logger("store")
 
-LENGTH = struct.Struct(">I")
+RECORD_LENGTH = struct.Struct(">I")
 
 
 class RecordDecoder:
     """Decodes records; those of operators against the versions before."""
 
     def __init__(self) -> None:
-        self.documents: dict[str, Document] = {}
-        self.desired = DesiredDecoder()
+        self.latest_documents: dict[str, Document] = {}
+        self.desired_decoder = DesiredDecoder()
 
-    def typed(self, feed: Feed, records: list[FeedRecord]) -> Sequence[Record]:
+    def to_records(self, feed: Feed, records: list[FeedRecord]) -> Sequence[Record]:
         """Return operators' records as documents, the newest of each key only."""
         if feed is not Feed.OPERATORS:
             return records
@@ -54,74 +54,78 @@
         for record in reversed(records):
             if not record.value or record.key in newest:
                 continue
-            document = self._document(record)
+            document = self._parse_document(record)
             if document is not None:
                 newest[record.key] = document
         return sorted(newest.values(), key=lambda record: record.offset)
 
-    def _document(self, record: FeedRecord) -> DocumentRecord | None:
-        former = self.documents.get(record.key, documents.EMPTY)
-        parsed = documents.parse(record.value, former)
+    def _parse_document(self, record: FeedRecord) -> DocumentRecord | None:
+        previous = self.latest_documents.get(record.key, documents.EMPTY)
+        parsed = documents.parse(record.value, previous)
         if not isinstance(parsed, Success):
-            _left_out(record, parsed.failure())
+            _log_skipped(record, parsed.failure())
             return None
         document = parsed.unwrap()
-        self.documents[record.key] = document
+        self.latest_documents[record.key] = document
         return DocumentRecord(record.offset, record.key, document)
 
-    def change(self, feed: Feed, record: Record) -> Change | None:
+    def decode_change(self, feed: Feed, record: Record) -> Change | None:
         """Return what a record says; None if it cannot be read."""
         if isinstance(record, DocumentRecord):
-            return self._operator_change(record)
-        return _lease_change(record) if feed is Feed.LEASE else _target_change(record)
+            return self._decode_operator_change(record)
+        return (
+            _decode_lease_change(record)
+            if feed is Feed.LEASE
+            else _decode_target_change(record)
+        )
 
-    def _operator_change(self, record: DocumentRecord) -> Change | None:
+    def _decode_operator_change(self, record: DocumentRecord) -> Change | None:
         if record.key == names.CONFIG_KEY:
-            return self._desired_change(record)
+            return self._decode_desired_change(record)
         if not record.key.startswith(names.VERSION_KEY_PREFIX):
             return None
         weights = decode_weights(record.document)
         if isinstance(weights, Success):
             named = weights.unwrap()
             return WeightsNamed(record.offset, named.model, named.version)
-        _left_out(record, weights.failure())
+        _log_skipped(record, weights.failure())
         return None
 
-    def _desired_change(self, record: DocumentRecord) -> Change | None:
+    def _decode_desired_change(self, record: DocumentRecord) -> Change | None:
         began = time.perf_counter()
-        desired = self.desired.decode(record.document)
+        desired = self.desired_decoder.decode(record.document)
         if not isinstance(desired, Success):
-            _left_out(record, desired.failure())
+            _log_skipped(record, desired.failure())
             return None
         took_s = time.perf_counter() - began
         size = record.document.size
         return DesiredPublished(record.offset, desired.unwrap(), size, took_s)
 
 
-def split(data: bytes, offset: int) -> list[tuple[int, bytes]] | None:
+def split_records(data: bytes, offset: int) -> list[tuple[int, bytes]] | None:
     """Return offsets and contents of records; None if one is cut."""
-    found: list[tuple[int, bytes]] = []
-    place = 0
-    while place < len(data):
-        if place + LENGTH.size > len(data):
+    records: list[tuple[int, bytes]] = []
+    position = 0
+    while position < len(data):
+        if position + RECORD_LENGTH.size > len(data):
             return None
-        (length,) = LENGTH.unpack_from(data, place)
-        place += LENGTH.size
-        if place + length > len(data):
+        (length,) = RECORD_LENGTH.unpack_from(data, position)
+        position += RECORD_LENGTH.size
+        if position + length > len(data):
             return None
-        found.append((offset + len(found), data[place : place + length]))
-        place += length
-    return found
+        records.append((offset + len(records), data[position : position + length]))
+        position += length
+    return records
 
 
-def of_log(feed: Feed, raw: list[tuple[int, bytes]]) -> list[FeedRecord]:
+def decode_log(feed: Feed, raw: list[tuple[int, bytes]]) -> list[FeedRecord]:
     """Return the records of a part of a log."""
     if feed is Feed.LEASE:
         return [FeedRecord(offset, "", content) for offset, content in raw]
-    return _keyed_records(raw)
+    return _decode_keyed_records(raw)
 
 
-def _keyed_records(raw: list[tuple[int, bytes]]) -> list[FeedRecord]:
+def _decode_keyed_records(raw: list[tuple[int, bytes]]) -> list[FeedRecord]:
     records = []
     for offset, content in raw:
         if not content or len(content) < 1 + content[0]:
@@ -132,7 +136,7 @@
     return records
 
 
-def of_listing(page: dict[str, Any]) -> list[FeedRecord]:
+def decode_listing(page: dict[str, Any]) -> list[FeedRecord]:
     """Return the records of a page of the newest ones.
 
     Raises
@@ -141,13 +145,15 @@
         If the page is none.
     """
     records = []
-    for item in fields.rows(page, "items"):
-        row = fields.table(item, "an item")
+    for item in fields.array(page, "items"):
+        row = fields.json_object(item, "an item")
         try:
-            value = base64.b64decode(fields.text(row, "value"), validate=True)
+            value = base64.b64decode(fields.string(row, "value"), validate=True)
         except binascii.Error as error:
             raise fields.MalformedError(str(error)) from error
-        records.append(FeedRecord(fields.whole(row, "offset"), fields.text(row, "key"), value))
+        records.append(
+            FeedRecord(fields.integer(row, "offset"), fields.string(row, "key"), value)
+        )
     return records
 
 
@@ -164,7 +170,7 @@
     }
 
 
-def _decode_naming(found: object) -> VersionAgeRecord | None:
+def _decode_naming(value: object) -> VersionAgeRecord | None:
     """Return the ages in a record; None without any.
 
     Raises
@@ -172,16 +178,16 @@
     ValueError
         If they are none.
     """
-    if found is None:
+    if value is None:
         return None
-    whole = fields.table(found, "the naming")
+    naming = fields.json_object(value, "the naming")
     ages: dict[str, tuple[VersionAge, ...]] = {}
-    for model, rows in fields.table(whole.get("ages"), "the ages").items():
+    for model, rows in fields.json_object(naming.get("ages"), "the ages").items():
         if not isinstance(rows, list):
             raise fields.MalformedError("the ages of a model are no list")
         ages[model] = tuple(_decode_age(row) for row in rows)
     return VersionAgeRecord(
-        fields.number(whole, "written_at"), fields.number(whole, "reading_age_s"), ages
+        fields.number(naming, "written_at"), fields.number(naming, "reading_age_s"), ages
     )
 
 
@@ -192,32 +198,34 @@
     raise fields.MalformedError("an age is no version and seconds")
 
 
-def _target_change(record: FeedRecord) -> Change | None:
+def _decode_target_change(record: FeedRecord) -> Change | None:
     if not record.value:
         return TargetChanged(record.offset, record.key, None)
     entry = decode_registration(record.key, record.value)
     if isinstance(entry, Success):
         return TargetChanged(record.offset, record.key, entry.unwrap())
-    _left_out(record, entry.failure())
+    _log_skipped(record, entry.failure())
     return None
 
 
-def _left_out(record: Record, reason: str) -> None:
+def _log_skipped(record: Record, reason: str) -> None:
     logger.warning("Left out a record.", key=record.key, offset=record.offset, reason=reason)
 
 
-def _lease_change(record: FeedRecord) -> Change | None:
+def _decode_lease_change(record: FeedRecord) -> Change | None:
     try:
-        found = fields.table(json.loads(record.value), "the lease")
-        idle, load = found.get("released_idle_s"), found.get("load_s")
+        decoded = fields.json_object(json.loads(record.value), "the lease")
+        idle, load = decoded.get("released_idle_s"), decoded.get("load_s")
         entry = LeaseEntry(
-            host=fields.text(found, "host"),
-            boot=fields.text(found, "boot"),
-            released_idle_s=None if idle is None else fields.number(found, "released_idle_s"),
-            load_s=None if load is None else fields.number(found, "load_s"),
-            naming=_decode_naming(found.get("naming")),
+            host=fields.string(decoded, "host"),
+            boot=fields.string(decoded, "boot"),
+            released_idle_s=None
+            if idle is None
+            else fields.number(decoded, "released_idle_s"),
+            load_s=None if load is None else fields.number(decoded, "load_s"),
+            naming=_decode_naming(decoded.get("naming")),
         )
     except ValueError as error:
-        _left_out(record, str(error))
+        _log_skipped(record, str(error))
         return None
     return LeaseChanged(record.offset, entry)
--- a/agaterail/platform/fields.py
+++ b/agaterail/platform/fields.py
@@ -9,14 +9,14 @@
     """A message lacks a field or has one of another type."""
 
 
-def table(value: Any, name: str) -> dict[str, Any]:
+def json_object(value: Any, name: str) -> dict[str, Any]:
     """Return a JSON object or complain."""
     if not isinstance(value, dict):
         raise MalformedError(f"{name} is no object")
     return value
 
 
-def rows(value: dict[str, Any], name: str) -> list[Any]:
+def array(value: dict[str, Any], name: str) -> list[Any]:
     """Return a list field; an absent one is empty."""
     found = value.get(name)
     if found is None:
@@ -26,7 +26,7 @@
     return found
 
 
-def text(value: dict[str, Any], name: str) -> str:
+def string(value: dict[str, Any], name: str) -> str:
     """Return a field that must be text and not empty."""
     found = value.get(name)
     if not isinstance(found, str) or not found:
@@ -44,7 +44,7 @@
     return found
 
 
-def whole(value: dict[str, Any], name: str, default: int | None = None) -> int:
+def integer(value: dict[str, Any], name: str, default: int | None = None) -> int:
     """Return a field that must be a whole number."""
     found = value.get(name, default)
     if isinstance(found, bool) or not isinstance(found, int):
@@ -52,7 +52,7 @@
     return found
 
 
-def flag(value: dict[str, Any], name: str) -> bool:
+def boolean(value: dict[str, Any], name: str) -> bool:
     """Return a field that must be true or false; absent means false."""
     found = value.get(name, False)
     if not isinstance(found, bool):
--- a/agaterail/platform/names.py
+++ b/agaterail/platform/names.py
@@ -49,7 +49,7 @@
 )
 # What the router alone may set. A caller's value is dropped: with it a caller
 # could read another workspace's cache or keep memory of engines for itself.
-SET_BY_ROUTER = frozenset(
+ROUTER_ONLY = frozenset(
     {
         DEADLINE,
         AUTHORIZATION,
@@ -68,7 +68,7 @@
     }
 )
 # Headers that decide something here; two of them would leave open which counts.
-SINGLE = frozenset(
+SINGLE_VALUED = frozenset(
     {
         b"host",
         REQUEST_ID,
@@ -85,7 +85,7 @@
 READY_PATH = b"/agaterail/readiness"
 ORDER_PATH = "/agaterail/order"
 CACHE_EVENTS_PATH = "/agaterail/kv-events"
-WAIT = "Wait-Ms"
+WAIT_MS = "Wait-Ms"
 REPORT_PATH = "/agaterail/report"
 LOG_APPEND_PATH = "/agaterail/log-append"
 LOG_READ_PATH = "/agaterail/log-read"
--- a/agaterail/platform/registrations.py
+++ b/agaterail/platform/registrations.py
@@ -22,30 +22,30 @@
     type or with an unknown state names no target to use.
     """
     try:
-        found = fields.table(json.loads(value), "the entry")
-        state = fields.text(found, "state")
+        decoded = fields.json_object(json.loads(value), "the entry")
+        state = fields.string(decoded, "state")
         if state not in STATES:
             raise MalformedError("state is unknown")
-        address = fields.text(found, "address")
+        address = fields.string(decoded, "address")
         host, separator, port = address.rpartition(":")
         if not separator or not host or not port.isdigit():
             raise MalformedError("address is no IP:port")
         return Success(
             Registration(
                 instance=instance,
-                service=fields.text(found, "service"),
+                service=fields.string(decoded, "service"),
                 address=address,
-                domain=fields.text(found, "zone"),
+                domain=fields.string(decoded, "zone"),
                 ready=state == READY,
-                slots=fields.whole(found, "slots", 0),
-                born=fields.whole(found, "born", 0),
-                weights=_weights(found),
+                slots=fields.integer(decoded, "slots", 0),
+                born=fields.integer(decoded, "born", 0),
+                weights=_weights(decoded),
             )
         )
     except ValueError as error:  # MalformedError and JSON errors
         return Failure(str(error))
 
 
-def _weights(found: dict[str, Any]) -> dict[str, int]:
-    models = (fields.table(item, "a model") for item in fields.rows(found, "models"))
-    return {fields.text(item, "name"): fields.whole(item, "version") for item in models}
+def _weights(decoded: dict[str, Any]) -> dict[str, int]:
+    models = (fields.json_object(item, "a model") for item in fields.array(decoded, "models"))
+    return {fields.string(item, "name"): fields.integer(item, "version") for item in models}
--- a/agaterail/platform/requests.py
+++ b/agaterail/platform/requests.py
@@ -15,10 +15,10 @@
 
     from agaterail.gateway.inbound import AttemptHead, InboundRequest
 
-PART = re.compile(r"([0-9A-Fa-f]+):(\d{1,12})")
-WHOLE = re.compile(rb"\d{1,15}")
+PROMPT_PART = re.compile(r"([0-9A-Fa-f]+):(\d{1,12})")
+DECIMAL = re.compile(rb"\d{1,15}")
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d{1,6})")
-MS = 1e-3
+S_PER_MS = 1e-3
 
 
 def decode_request(inbound: InboundRequest) -> Result[InboundRequest, str]:
@@ -27,40 +27,40 @@
     A header that decides something and comes twice, or cannot be read, makes
     the request malformed: router and target might read it differently.
     """
-    seen: dict[bytes, bytes] = {}
+    by_name: dict[bytes, bytes] = {}
     for name, value in inbound.headers:
         lower = name.lower()
-        if lower in names.SINGLE and lower in seen:
+        if lower in names.SINGLE_VALUED and lower in by_name:
             return Failure(f"The header {lower.decode('latin-1')} comes twice.")
-        seen[lower] = value
-    host = seen.get(b"host", b"").decode("latin-1").lower()
+        by_name[lower] = value
+    host = by_name.get(b"host", b"").decode("latin-1").lower()
     inbound.host = host.rsplit(":", 1)[0] if host.rpartition(":")[2].isdigit() else host
-    inbound.request_id = seen.get(names.REQUEST_ID, b"").decode("latin-1")
-    inbound.model = seen.get(names.MODEL, b"").decode("latin-1")
-    inbound.last_event_id = seen.get(names.LAST_EVENT_ID, b"").decode("latin-1")
-    authorization = seen.get(names.AUTHORIZATION, b"").decode("latin-1")
+    inbound.request_id = by_name.get(names.REQUEST_ID, b"").decode("latin-1")
+    inbound.model = by_name.get(names.MODEL, b"").decode("latin-1")
+    inbound.last_event_id = by_name.get(names.LAST_EVENT_ID, b"").decode("latin-1")
+    authorization = by_name.get(names.AUTHORIZATION, b"").decode("latin-1")
     if authorization.startswith(names.BEARER):
         inbound.api_key = authorization[len(names.BEARER) :].strip()
-    limit = seen.get(names.DEADLINE)
-    if limit is not None:
-        if not WHOLE.fullmatch(limit):
+    deadline_ms = by_name.get(names.DEADLINE)
+    if deadline_ms is not None:
+        if not DECIMAL.fullmatch(deadline_ms):
             return Failure("The time limit is no whole number of milliseconds.")
-        inbound.time_limit_s = int(limit) * MS
-    return _decode_prompt(inbound, seen)
+        inbound.time_limit_s = int(deadline_ms) * S_PER_MS
+    return _decode_prompt(inbound, by_name)
 
 
 def encode_attempt(inbound: InboundRequest, head: AttemptHead) -> bytes:
     """Return the bytes of the request for a target, up to its body."""
     lines = [inbound.method + b" " + inbound.target + b" HTTP/1.1"]
-    named_by_caller = _connection_options(inbound.headers)
+    connection_options = _connection_options(inbound.headers)
     for name, value in inbound.headers:
         lower = name.lower()
-        if lower in names.HOP_BY_HOP or lower in names.SET_BY_ROUTER:
+        if lower in names.HOP_BY_HOP or lower in names.ROUTER_ONLY:
             continue
-        if lower not in named_by_caller or lower in names.SINGLE:
+        if lower not in connection_options or lower in names.SINGLE_VALUED:
             lines.append(name + b": " + value)
-    own = [
-        (b"Deadline-Ms", str(max(1, int(head.time_left_s / MS)))),
+    router_headers = [
+        (b"Deadline-Ms", str(max(1, int(head.time_left_s / S_PER_MS)))),
         (b"Expect-Instance", head.instance),
         (b"Tenant", head.workspace),
         (b"Last-Event-Id", head.last_event_id),
@@ -70,7 +70,9 @@
         (b"Expect-Version", "" if head.weights_version is None else str(head.weights_version)),
         (b"Request-Priority", "" if head.priority is None else str(head.priority)),
     ]
-    lines.extend(name + b": " + value.encode("latin-1") for name, value in own if value)
+    lines.extend(
+        name + b": " + value.encode("latin-1") for name, value in router_headers if value
+    )
     if inbound.body or inbound.method in (b"POST", b"PUT", b"PATCH"):
         lines.append(b"Content-Length: %d" % len(inbound.body))
     return b"\r\n".join(lines) + b"\r\n\r\n"
@@ -78,24 +80,24 @@
 
 def decode_answer_head(status: int, headers: Sequence[tuple[bytes, bytes]]) -> AnswerHead:
     """Return what a target's status and headers say."""
-    seen = {name.lower(): value for name, value in headers}
+    by_name = {name.lower(): value for name, value in headers}
     passed_on = tuple(
         (name, value)
         for name, value in headers
         if name.lower() not in names.HOP_BY_HOP and name.lower() != names.INSTANCE
     )
-    keep_alive = KEEP_ALIVE_TIMEOUT.search(seen.get(names.KEEP_ALIVE, b"").lower())
-    version = seen.get(names.WEIGHTS_VERSION, b"").strip()
+    keep_alive = KEEP_ALIVE_TIMEOUT.search(by_name.get(names.KEEP_ALIVE, b"").lower())
+    version = by_name.get(names.WEIGHTS_VERSION, b"").strip()
     return AnswerHead(
         status=status,
-        not_run=names.NOT_RUN in seen or status == 421,
-        request_id=seen.get(names.REQUEST_ID, b"").decode("latin-1"),
+        not_run=names.NOT_RUN in by_name or status == 421,
+        request_id=by_name.get(names.REQUEST_ID, b"").decode("latin-1"),
         headers=passed_on,
-        has_server_stamp=names.SIGNATURE in seen,
+        has_server_stamp=names.SIGNATURE in by_name,
         keep_alive_s=None if keep_alive is None else float(keep_alive.group(1)),
-        retry_after_s=_seconds(seen.get(names.RETRY_AFTER)),
-        weights_version=int(version) if WHOLE.fullmatch(version) else None,
-        instance=seen.get(names.INSTANCE, b"").decode("latin-1"),
+        retry_after_s=_parse_retry_after(by_name.get(names.RETRY_AFTER)),
+        weights_version=int(version) if DECIMAL.fullmatch(version) else None,
+        instance=by_name.get(names.INSTANCE, b"").decode("latin-1"),
     )
 
 
@@ -110,36 +112,40 @@
 
 
 def _connection_options(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
-    named: set[bytes] = set()
+    options: set[bytes] = set()
     for name, value in headers:
         if name.lower() == names.CONNECTION:
-            named.update(option.strip().lower() for option in value.split(b","))
-    return frozenset(named)
+            options.update(option.strip().lower() for option in value.split(b","))
+    return frozenset(options)
 
 
 def _decode_prompt(
-    inbound: InboundRequest, seen: dict[bytes, bytes]
+    inbound: InboundRequest, by_name: dict[bytes, bytes]
 ) -> Result[InboundRequest, str]:
-    usage = seen.get(names.TOKEN_USAGE)
+    usage = by_name.get(names.TOKEN_USAGE)
     if usage is not None:
-        read, comma, made = usage.partition(b",")
-        if not comma or not WHOLE.fullmatch(read) or not WHOLE.fullmatch(made):
+        prompt_tokens, comma, output_tokens = usage.partition(b",")
+        if (
+            not comma
+            or not DECIMAL.fullmatch(prompt_tokens)
+            or not DECIMAL.fullmatch(output_tokens)
+        ):
             return Failure("The announced tokens are no pair of numbers.")
-        inbound.prompt_tokens, inbound.output_tokens = int(read), int(made)
-    listed = seen.get(names.PROMPT_PREFIX)
-    if listed is None:
+        inbound.prompt_tokens, inbound.output_tokens = int(prompt_tokens), int(output_tokens)
+    prompt_prefix = by_name.get(names.PROMPT_PREFIX)
+    if prompt_prefix is None:
         return Success(inbound)
     parts = []
-    for entry in listed.decode("latin-1").split(","):
-        found = PART.fullmatch(entry.strip())
-        if found is None:
+    for entry in prompt_prefix.decode("latin-1").split(","):
+        matched = PROMPT_PART.fullmatch(entry.strip())
+        if matched is None:
             return Failure("The parts of the prompt cannot be read.")
-        parts.append(PromptPart(found.group(1), int(found.group(2))))
+        parts.append(PromptPart(matched.group(1), int(matched.group(2))))
     inbound.prompt = tuple(parts)
     return Success(inbound)
 
 
-def _seconds(value: bytes | None) -> float | None:
+def _parse_retry_after(value: bytes | None) -> float | None:
     try:
         return None if value is None else float(value)
     except ValueError:
--- a/agaterail/platform/settings.py
+++ b/agaterail/platform/settings.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-MS = 1e-3
+S_PER_MS = 1e-3
 
 
 @attrs.frozen
@@ -40,12 +40,12 @@
     except (OSError, ValueError) as error:
         return Failure(SettingsFileProblem(path, str(error)))
     try:
-        return Success(decode_settings(fields.table(decoded, "the file")))
+        return Success(decode_settings(fields.json_object(decoded, "the file")))
     except MalformedError as error:
         return Failure(SettingsFileProblem(path, str(error)))
 
 
-def decode_settings(found: Mapping[str, Any]) -> HostSettings:
+def decode_settings(decoded: Mapping[str, Any]) -> HostSettings:
     """Return the settings of a decoded file; unknown fields are left out.
 
     Raises
@@ -53,42 +53,42 @@
     MalformedError
         If a needed field is missing or of another type.
     """
-    whole = dict(found)
-    listen = fields.table(whole.get("listen"), "listen")
-    limits = fields.table(whole.get("limits"), "limits")
+    root = dict(decoded)
+    listen = fields.json_object(root.get("listen"), "listen")
+    limits = fields.json_object(root.get("limits"), "limits")
     return HostSettings(
-        host=fields.text(whole, "node_name"),
-        ip=fields.text(whole, "ip"),
-        domain=fields.text(whole, "zone"),
+        host=fields.string(root, "node_name"),
+        ip=fields.string(root, "ip"),
+        domain=fields.string(root, "zone"),
         caller_listen=_address(listen, "front"),
         ready_listen=_address(listen, "ready"),
         memory_mb=fields.number(limits, "memory_mb"),
         link_mbps=fields.number(limits, "link_mbps", 0.0),
-        max_descriptors=fields.whole(limits, "max_fds"),
-        peer_ports=_port_range(whole),
-        heartbeat_s=fields.number(whole, "heartbeat_ms") * MS,
-        bounds=_bounds(fields.table(whole.get("bounds"), "bounds")),
-        store=_store(fields.table(whole.get("platform"), "platform")),
+        max_descriptors=fields.integer(limits, "max_fds"),
+        peer_ports=_port_range(root),
+        heartbeat_s=fields.number(root, "heartbeat_ms") * S_PER_MS,
+        bounds=_bounds(fields.json_object(root.get("bounds"), "bounds")),
+        store=_store(fields.json_object(root.get("platform"), "platform")),
     )
 
 
-def _port_range(whole: dict[str, Any]) -> tuple[int, int]:
-    found = fields.rows(whole, "port_range")
-    if len(found) != 2 or not all(isinstance(port, int) for port in found):
+def _port_range(root: dict[str, Any]) -> tuple[int, int]:
+    decoded = fields.array(root, "port_range")
+    if len(decoded) != 2 or not all(isinstance(port, int) for port in decoded):
         raise MalformedError("port_range is no pair of ports")
-    return found[0], found[1]
+    return decoded[0], decoded[1]
 
 
 def _bounds(bounds: dict[str, Any]) -> Bounds:
     return Bounds(
-        config_s=fields.number(bounds, "config_ms") * MS,
-        revoke_s=fields.number(bounds, "revoke_ms", 0.0) * MS or None,
-        drain_s=fields.number(bounds, "drain_ms") * MS,
+        config_s=fields.number(bounds, "config_ms") * S_PER_MS,
+        revoke_s=fields.number(bounds, "revoke_ms", 0.0) * S_PER_MS or None,
+        drain_s=fields.number(bounds, "drain_ms") * S_PER_MS,
         grace_s=fields.number(bounds, "grace_s"),
-        lease_s=fields.number(bounds, "lease_ms", 3000.0) * MS,
-        version_s=fields.number(bounds, "version_ms", 15000.0) * MS,
-        clock_skew_s=fields.number(bounds, "skew_max_ms", 5000.0) * MS,
-        fenced=fields.flag(bounds, "require_fencing"),
+        lease_s=fields.number(bounds, "lease_ms", 3000.0) * S_PER_MS,
+        version_s=fields.number(bounds, "version_ms", 15000.0) * S_PER_MS,
+        clock_skew_s=fields.number(bounds, "skew_max_ms", 5000.0) * S_PER_MS,
+        fenced=fields.boolean(bounds, "require_fencing"),
         retries=RetryBudgetLimits(
             ratio=fields.number(bounds, "budget_ratio"),
             extra=fields.number(bounds, "budget_extra"),
@@ -100,13 +100,13 @@
 def _store(platform: dict[str, Any]) -> StoreSettings:
     return StoreSettings(
         address=_address(platform, "address"),
-        parts=fields.whole(platform, "parts"),
-        member_ttl_min_s=fields.number(platform, "ttl_min_ms", 1000.0) * MS,
+        parts=fields.integer(platform, "parts"),
+        member_ttl_min_s=fields.number(platform, "ttl_min_ms", 1000.0) * S_PER_MS,
     )
 
 
-def _address(found: dict[str, Any], name: str) -> Address:
+def _address(decoded: dict[str, Any], name: str) -> Address:
     try:
-        return Address.parse(fields.text(found, name))
+        return Address.parse(fields.string(decoded, name))
     except ValueError as error:
         raise MalformedError(f"{name}: {error}") from error
--- a/agaterail/platform/store.py
+++ b/agaterail/platform/store.py
@@ -33,9 +33,9 @@
 
 logger = logs.get_logger("store")
 
-PART = 0  # keyed records of operators and targets have one partition only
+PARTITION = 0  # keyed records of operators and targets have one partition only
 LEASE_TOPIC = "agaterail-lease"
-TOPIC_OF = {
+TOPIC_BY_FEED = {
     Feed.OPERATORS: names.OPERATOR_TOPIC,
     Feed.TARGETS: names.TARGETS_TOPIC,
     Feed.LEASE: LEASE_TOPIC,
@@ -51,20 +51,20 @@
 ANSWER_TIMEOUT_S = 0.8
 CONNECT_TIMEOUT_S = 0.6
 
-OK = 200
-GONE = 410
-CONFLICTS = (409, 412)
-REFUSALS = (429, 503, 507)
-ENDS = struct.Struct(">QQ")
+HTTP_OK = 200
+HTTP_GONE = 410
+CONFLICT_STATUSES = (409, 412)
+REFUSAL_STATUSES = (429, 503, 507)
+LOG_BOUNDS = struct.Struct(">QQ")
 
 
 class PlatformStore(ControlStore):
     """The store over its HTTP calls."""
 
-    def __init__(self, address: Address, parts: int) -> None:
+    def __init__(self, address: Address, partitions_per_topic: int) -> None:
         self.connections = HttpConnections(address, CONNECT_TIMEOUT_S)
-        self.parts = parts
-        self.fresh = False
+        self.partitions_per_topic = partitions_per_topic
+        self.use_new_connection = False
         self.calls = 0
         self.decoder = RecordDecoder()
 
@@ -75,11 +75,11 @@
         page named: whatever changed meanwhile comes once more.
         """
         if feed is Feed.LEASE:
-            return self._whole_log(feed)
+            return self._read_whole_log(feed)
         records: list[FeedRecord] = []
         after, end = "", None
         while True:
-            query = {"topic": TOPIC_OF[feed], "part": PART}
+            query = {"topic": TOPIC_BY_FEED[feed], "part": PARTITION}
             if after:
                 query["after"] = after
             answer = self._call_json("GET", names.LOG_NEWEST_PATH, query, feed=feed)
@@ -87,14 +87,14 @@
                 return Failure(answer.failure())
             try:
                 page = answer.unwrap()
-                records.extend(feedrecords.of_listing(page))
+                records.extend(feedrecords.decode_listing(page))
                 if end is None:
-                    end = fields.whole(page, "end")
-                more = fields.flag(page, "has_more") and records
+                    end = fields.integer(page, "end")
+                more = fields.boolean(page, "has_more") and records
             except ValueError as error:
                 return Failure(StoreError(StoreErrorKind.MALFORMED, str(error)))
             if not more:
-                return Success(FeedSlice(self.decoder.typed(feed, records), end, end))
+                return Success(FeedSlice(self.decoder.to_records(feed, records), end, end))
             after = records[-1].key
 
     def follow(self, feed: Feed, offset: int, wait_s: float) -> Result[FeedSlice, StoreError]:
@@ -103,35 +103,35 @@
         if not isinstance(read, Success):
             return Failure(read.failure())
         next_offset, raw, end = read.unwrap()
-        records = self.decoder.typed(feed, feedrecords.of_log(feed, raw))
+        records = self.decoder.to_records(feed, feedrecords.decode_log(feed, raw))
         return Success(FeedSlice(records, next_offset, end))
 
     def decode(self, feed: Feed, records: Sequence[Record]) -> list[Change]:
         """Return what records say; those that cannot be read are left out."""
-        changes = (self.decoder.change(feed, record) for record in records)
+        changes = (self.decoder.decode_change(feed, record) for record in records)
         return [change for change in changes if change is not None]
 
     def append_lease(self, entry: LeaseEntry, at: int) -> Result[int, StoreError]:
         """Append a record iff the log ends at an offset."""
-        found: dict[str, Any] = {"host": entry.host, "boot": entry.boot}
+        payload: dict[str, Any] = {"host": entry.host, "boot": entry.boot}
         if entry.released_idle_s is not None:
-            found["released_idle_s"] = entry.released_idle_s
+            payload["released_idle_s"] = entry.released_idle_s
         if entry.load_s is not None:
-            found["load_s"] = round(entry.load_s, 3)
+            payload["load_s"] = round(entry.load_s, 3)
         if entry.naming is not None:
-            found["naming"] = feedrecords.encode_naming(entry.naming)
-        content = json.dumps(found).encode()
-        query = {"topic": LEASE_TOPIC, "part": PART, "at": at}
+            payload["naming"] = feedrecords.encode_naming(entry.naming)
+        content = json.dumps(payload).encode()
+        query = {"topic": LEASE_TOPIC, "part": PARTITION, "at": at}
         answer = self._call_json(
             "POST",
             names.LOG_APPEND_PATH,
             query,
-            feedrecords.LENGTH.pack(len(content)) + content,
+            feedrecords.RECORD_LENGTH.pack(len(content)) + content,
         )
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         try:
-            return Success(fields.whole(answer.unwrap(), "offset"))
+            return Success(fields.integer(answer.unwrap(), "offset"))
         except ValueError as error:
             return Failure(StoreError(StoreErrorKind.UNANSWERED, str(error)))
 
@@ -150,14 +150,14 @@
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         try:
-            found = answer.unwrap()
-            held = [tuple(row[:2]) for row in fields.rows(found, "parts")]
-            total = len(FLEET_TOPICS) * self.parts
+            payload = answer.unwrap()
+            assigned = [tuple(row[:2]) for row in fields.array(payload, "parts")]
+            total = len(FLEET_TOPICS) * self.partitions_per_topic
             return Success(
                 Membership(
-                    generation=fields.whole(found, "generation"),
-                    share=min(1.0, len(held) / total),
-                    ranks=_ranks(held),
+                    generation=fields.integer(payload, "generation"),
+                    share=min(1.0, len(assigned) / total),
+                    ranks=_assigned_ranks(assigned),
                 )
             )
         except (ValueError, TypeError) as error:
@@ -188,7 +188,7 @@
         answer = self._call("POST", names.LOG_LEAVE_PATH, None, body)
         return answer.map(lambda _: None)
 
-    def _whole_log(self, feed: Feed) -> Result[FeedSlice, StoreError]:
+    def _read_whole_log(self, feed: Feed) -> Result[FeedSlice, StoreError]:
         """Read a log without keys from its first record that is left."""
         offset = 0
         records: list[FeedRecord] = []
@@ -198,7 +198,7 @@
                 next_offset, raw, end = read.unwrap()
                 if not raw:
                     return Success(FeedSlice(records, next_offset, end))
-                records.extend(feedrecords.of_log(feed, raw))
+                records.extend(feedrecords.decode_log(feed, raw))
                 offset = next_offset
                 continue
             error = read.failure()
@@ -212,8 +212,8 @@
         self, feed: Feed, offset: int, wait_s: float
     ) -> Result[tuple[int, list[tuple[int, bytes]], int], StoreError]:
         query = {
-            "topic": TOPIC_OF[feed],
-            "part": PART,
+            "topic": TOPIC_BY_FEED[feed],
+            "part": PARTITION,
             "from": offset,
             "wait_ms": int(wait_s * 1e3),
         }
@@ -221,12 +221,12 @@
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         body = answer.unwrap()
-        if len(body) < ENDS.size:
+        if len(body) < LOG_BOUNDS.size:
             return Failure(StoreError(StoreErrorKind.MALFORMED, "a short answer"))
-        raw = feedrecords.split(body[ENDS.size :], offset)
+        raw = feedrecords.split_records(body[LOG_BOUNDS.size :], offset)
         if raw is None:
             return Failure(StoreError(StoreErrorKind.MALFORMED, "a cut record"))
-        end, _first = ENDS.unpack_from(body)
+        end, _first = LOG_BOUNDS.unpack_from(body)
         return Success((offset + len(raw), raw, end))
 
     def _call_json(
@@ -241,7 +241,7 @@
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         try:
-            return Success(fields.table(json.loads(answer.unwrap()), "the answer"))
+            return Success(fields.json_object(json.loads(answer.unwrap()), "the answer"))
         except ValueError as error:
             return Failure(StoreError(StoreErrorKind.MALFORMED, str(error)))
 
@@ -254,12 +254,12 @@
         wait_s: float = 0.0,
         feed: Feed | None = None,
     ) -> Result[bytes, StoreError]:
-        whole = path if query is None else f"{path}?{urlencode(query)}"
-        fresh, self.fresh = self.fresh, False
+        request_target = path if query is None else f"{path}?{urlencode(query)}"
+        fresh, self.use_new_connection = self.use_new_connection, False
         self.calls += 1
         answer = self.connections.call(
             method,
-            whole,
+            request_target,
             body,
             timeout_s=ANSWER_TIMEOUT_S + wait_s,
             fresh=fresh,
@@ -267,9 +267,13 @@
         )
         if isinstance(answer, Success):
             status, content = answer.unwrap()
-            return Success(content) if status == OK else Failure(_refusal(status, content))
+            return (
+                Success(content)
+                if status == HTTP_OK
+                else Failure(_status_error(status, content))
+            )
         # The other kept channels may be as dead as this one.
-        self.fresh = True
+        self.use_new_connection = True
         error = answer.failure()
         kind = (
             StoreErrorKind.UNREACHABLE
@@ -280,21 +284,23 @@
         return Failure(StoreError(kind, error.reason, timed_out))
 
 
-def _ranks(held: list[tuple[str, int]]) -> frozenset[int]:
+def _assigned_ranks(assigned: list[tuple[str, int]]) -> frozenset[int]:
     return frozenset(
-        number for number, topic in enumerate(FLEET_TOPICS) if (topic, PART) in held
+        number for number, topic in enumerate(FLEET_TOPICS) if (topic, PARTITION) in assigned
     )
 
 
-def _refusal(status: int, content: bytes) -> StoreError:
-    if status == GONE:
+def _status_error(status: int, content: bytes) -> StoreError:
+    if status == HTTP_GONE:
         try:
-            first = fields.whole(fields.table(json.loads(content), "the answer"), "first")
+            first = fields.integer(
+                fields.json_object(json.loads(content), "the answer"), "first"
+            )
         except ValueError as error:
             return StoreError(StoreErrorKind.MALFORMED, str(error))
         return StoreError(StoreErrorKind.EXPIRED, str(first))
-    if status in CONFLICTS:
+    if status in CONFLICT_STATUSES:
         return StoreError(StoreErrorKind.CONFLICT, f"status {status}")
-    if status in REFUSALS:
+    if status in REFUSAL_STATUSES:
         return StoreError(StoreErrorKind.REFUSED, f"status {status}")
     return StoreError(StoreErrorKind.MALFORMED, f"status {status}")
--- a/agaterail/policies/cost.py
+++ b/agaterail/policies/cost.py
@@ -13,7 +13,7 @@
 from agaterail.policies import Decision, Placement, Policy
 from agaterail.policies.simple import placement_key
 from agaterail.transfers import plan_import
-from agaterail.util.ring import NUMBER_BYTES, Ring
+from agaterail.util.ring import HASH_BYTES, HashRing
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
@@ -79,12 +79,12 @@
     def __init__(self, targets: tuple[TargetEntry, ...]) -> None:
         self.targets = targets
         self.by_address = {entry.address: entry for entry in targets}
-        self.ring = Ring([entry.address for entry in targets])
+        self.ring = HashRing([entry.address for entry in targets])
 
     def ranked(self, key: bytes, count: int) -> list[TargetEntry]:
         """Return the first targets for a key, best first."""
-        number = int.from_bytes(key[:NUMBER_BYTES], "little")
-        return [self.targets[position] for position in self.ring.ranked(number, count)]
+        number = int.from_bytes(key[:HASH_BYTES], "little")
+        return [self.targets[position] for position in self.ring.ranked_indices(number, count)]
 
 
 class LeastLoadedTracker:
--- a/agaterail/services/http.py
+++ b/agaterail/services/http.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from agaterail.util.address import Address
 
-PASSED_HEADERS = ("content-type", "etag", "location", "cache-control")
+FORWARDED_HEADERS = ("content-type", "etag", "location", "cache-control")
 
 
 class HttpService(Service):
@@ -47,7 +47,7 @@
             ServiceReply(
                 status=response.status_code,
                 headers={
-                    name: str(response[name]) for name in PASSED_HEADERS if name in response
+                    name: str(response[name]) for name in FORWARDED_HEADERS if name in response
                 },
                 body=body,
                 request_id=str(response.get("x-request-id", "")),
--- a/agaterail/settings.py
+++ b/agaterail/settings.py
@@ -24,11 +24,11 @@
     return attrs.field(default=default, metadata={"parse": parse, "description": description})
 
 
-def _address(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     return Address.parse(text)
 
 
-def _seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
         value = float(text)
     except ValueError:
@@ -38,13 +38,13 @@
     return value
 
 
-def _count(text: str) -> int:
+def _parse_count(text: str) -> int:
     if not text.isdecimal():
         raise ValueError(f"{text!r} is not a whole number of zero or more")
     return int(text)
 
 
-def _switch(text: str) -> bool:
+def _parse_boolean(text: str) -> bool:
     lowered = text.lower()
     if lowered in ("true", "1", "yes"):
         return True
@@ -53,19 +53,19 @@
     raise ValueError(f"{text!r} is not true or false")
 
 
-def _level(text: str) -> str:
+def _parse_log_level(text: str) -> str:
     if text not in LOG_LEVELS:
         raise ValueError(f"{text!r} is not one of {', '.join(LOG_LEVELS)}")
     return text
 
 
-def _word(text: str) -> str:
+def _parse_word(text: str) -> str:
     if not text or text != text.strip():
         raise ValueError("the value is empty or has spaces at its ends")
     return text
 
 
-def _modules(text: str) -> tuple[str, ...]:
+def _parse_modules(text: str) -> tuple[str, ...]:
     names = tuple(name.strip() for name in text.split(",") if name.strip())
     for name in names:
         if not _module_exists(name):
@@ -80,7 +80,7 @@
         return False
 
 
-def _file(text: str) -> str:
+def _parse_file(text: str) -> str:
     try:
         with pathlib.Path(text).open("rb"):
             return text
@@ -97,69 +97,77 @@
     """All settings of one daemon; times carry their unit in the name."""
 
     listen: Address = _setting(
-        Address("127.0.0.1", 8080), _address, "address for callers, IP:port"
+        Address("127.0.0.1", 8080), _parse_address, "address for callers, IP:port"
     )
     peer_listen: Address = _setting(
         Address("127.0.0.1", 8081),
-        _address,
+        _parse_address,
         "address for other daemons, IP:port (TCP and UDP)",
     )
-    domain: str = _setting("default", _word, "failure domain of this host")
+    domain: str = _setting("default", _parse_word, "failure domain of this host")
     log_service: Address = _setting(
-        Address("127.0.0.1", 9000), _address, "address of the platform's log, IP:port"
+        Address("127.0.0.1", 9000), _parse_address, "address of the platform's log, IP:port"
     )
     host_list: Address | None = _setting(
-        None, _optional(_address), "address of the platform's host list, IP:port"
+        None, _optional(_parse_address), "address of the platform's host list, IP:port"
     )
     kv_store: Address | None = _setting(
-        None, _optional(_address), "address of the store of kept KV cache, IP:port"
+        None, _optional(_parse_address), "address of the store of kept KV cache, IP:port"
+    )
+    statsd: Address | None = _setting(
+        None, _optional(_parse_address), "address of statsd, IP:port"
     )
-    statsd: Address | None = _setting(None, _optional(_address), "address of statsd, IP:port")
     peer_secret: str = _setting("", str, "shared secret of the daemons")
-    log_level: str = _setting("info", _level, "lowest level of log lines")
-    log_json: bool = _setting(False, _switch, "write log lines as JSON")
+    log_level: str = _setting("info", _parse_log_level, "lowest level of log lines")
+    log_json: bool = _setting(False, _parse_boolean, "write log lines as JSON")
     snapshot_interval_s: float = _setting(
         3600.0,
-        _seconds,
+        _parse_seconds,
         "seconds between snapshots of the tables, at most a quarter of the log's retention",
     )
     drain_lag_s: float = _setting(
-        5.0, _seconds, "seconds for which new connections are served after SIGTERM"
+        5.0, _parse_seconds, "seconds for which new connections are served after SIGTERM"
     )
     drain_limit_s: float = _setting(
-        120.0, _seconds, "seconds after which a drain ends in any case"
+        120.0, _parse_seconds, "seconds after which a drain ends in any case"
+    )
+    max_body_bytes: int = _setting(
+        32 * 1024 * 1024, _parse_count, "largest request body in bytes"
     )
-    max_body_bytes: int = _setting(32 * 1024 * 1024, _count, "largest request body in bytes")
     extensions: tuple[str, ...] = _setting(
-        (), _modules, "modules with a setup(app) function to load, comma-separated"
+        (), _parse_modules, "modules with a setup(app) function to load, comma-separated"
     )
-    max_in_flight: int = _setting(2000, _count, "most requests at a time on this daemon")
+    max_in_flight: int = _setting(2000, _parse_count, "most requests at a time on this daemon")
     max_header_bytes: int = _setting(
-        32 * 1024, _count, "largest request line and headers of a request in bytes"
+        32 * 1024, _parse_count, "largest request line and headers of a request in bytes"
     )
     header_timeout_s: float = _setting(
-        10.0, _seconds, "seconds in which the headers of a request must have arrived"
+        10.0, _parse_seconds, "seconds in which the headers of a request must have arrived"
     )
     body_timeout_s: float = _setting(
-        30.0, _seconds, "seconds in which the body of a request must have arrived"
+        30.0, _parse_seconds, "seconds in which the body of a request must have arrived"
     )
     idle_timeout_s: float = _setting(
-        300.0, _seconds, "seconds after which an idle connection of a caller is closed"
+        300.0, _parse_seconds, "seconds after which an idle connection of a caller is closed"
     )
     tls_certificate: str | None = _setting(
-        None, _optional(_file), "file of the certificate chain shown to callers (PEM)"
+        None, _optional(_parse_file), "file of the certificate chain shown to callers (PEM)"
     )
     tls_key: str | None = _setting(
-        None, _optional(_file), "file of the key of --tls-certificate (PEM)"
+        None, _optional(_parse_file), "file of the key of --tls-certificate (PEM)"
     )
     peer_tls_certificate: str | None = _setting(
-        None, _optional(_file), "file of the certificate chain shown to other daemons (PEM)"
+        None,
+        _optional(_parse_file),
+        "file of the certificate chain shown to other daemons (PEM)",
     )
     peer_tls_key: str | None = _setting(
-        None, _optional(_file), "file of the key of --peer-tls-certificate (PEM)"
+        None, _optional(_parse_file), "file of the key of --peer-tls-certificate (PEM)"
     )
     peer_tls_authority: str | None = _setting(
-        None, _optional(_file), "file of the authority that signs the daemons' certificates"
+        None,
+        _optional(_parse_file),
+        "file of the authority that signs the daemons' certificates",
     )
 
     @classmethod
@@ -201,7 +209,7 @@
         The settings, or all problems of single settings.
     """
     fields = attrs.fields_dict(Settings)
-    problems = [_unknown(flag, fields) for flag in flags if flag not in fields]
+    problems = [_unknown_flag(flag, fields) for flag in flags if flag not in fields]
     values: dict[str, Any] = {}
     for name in fields:
         loaded = load_one(name, flags, environment)
@@ -239,16 +247,16 @@
     )
 
 
-def described(field: Any) -> str:
+def describe_setting(field: Any) -> str:
     """Return the flag, variable, meaning and default of a setting in one line."""
     default = "none" if field.default in (None, "") else str(field.default)
     flag, variable = Settings.flag_of(field.name), Settings.variable_of(field.name)
     return f"{flag} ({variable}): {field.metadata['description']}; default {default}"
 
 
-def _unknown(name: str, fields: Mapping[str, Any]) -> SettingsProblem:
-    near = difflib.get_close_matches(name, fields, n=1)
+def _unknown_flag(name: str, fields: Mapping[str, Any]) -> SettingsProblem:
+    matches = difflib.get_close_matches(name, fields, n=1)
     reason = "there is no such setting"
-    if near:
-        reason = f"{reason}; did you mean {Settings.flag_of(near[0])}?"
+    if matches:
+        reason = f"{reason}; did you mean {Settings.flag_of(matches[0])}?"
     return SettingsProblem.of(name, reason)
--- a/agaterail/settings_rules.py
+++ b/agaterail/settings_rules.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-NEEDED_TOGETHER = (
+REQUIRED_TOGETHER = (
     ("tls_certificate", "tls_key"),
     ("peer_tls_certificate", "peer_tls_key"),
     ("peer_tls_certificate", "peer_tls_authority"),
@@ -31,18 +31,22 @@
     Result
         The settings, or the problems found.
     """
-    return settings.load(flags, environment).bind(_checked)
+    return settings.load(flags, environment).bind(_check_rules)
 
 
-def _checked(chosen: Settings) -> Result[Settings, list[SettingsProblem]]:
-    problems = [*_missing(chosen), *_unusable_files(chosen), *_missing_secret(chosen)]
+def _check_rules(chosen: Settings) -> Result[Settings, list[SettingsProblem]]:
+    problems = [
+        *_missing_counterparts(chosen),
+        *_unusable_files(chosen),
+        *_missing_secret(chosen),
+    ]
     return Failure(problems) if problems else Success(chosen)
 
 
-def _missing(chosen: Settings) -> list[SettingsProblem]:
+def _missing_counterparts(chosen: Settings) -> list[SettingsProblem]:
     problems: list[SettingsProblem] = []
-    for one, other in NEEDED_TOGETHER:
-        for given, missing in ((one, other), (other, one)):
+    for first, second in REQUIRED_TOGETHER:
+        for given, missing in ((first, second), (second, first)):
             if getattr(chosen, given) and not getattr(chosen, missing):
                 reason = f"needed together with {Settings.flag_of(given)}"
                 problems.append(SettingsProblem.of(missing, reason))
--- a/agaterail/tables.py
+++ b/agaterail/tables.py
@@ -132,11 +132,11 @@
         Whether an interrupted stream may be resumed on another engine.
     """
 
-    name: str = attrs.field(converter=interning.text)
-    workspace: str = attrs.field(converter=interning.text)
-    callers: tuple[str, ...] = attrs.field(converter=interning.texts)
-    pool: str = attrs.field(converter=interning.text)
-    models: tuple[str, ...] = attrs.field(default=(), converter=interning.texts)
+    name: str = attrs.field(converter=interning.intern_string)
+    workspace: str = attrs.field(converter=interning.intern_string)
+    callers: tuple[str, ...] = attrs.field(converter=interning.intern_strings)
+    pool: str = attrs.field(converter=interning.intern_string)
+    models: tuple[str, ...] = attrs.field(default=(), converter=interning.intern_strings)
     path_prefix: str = ""
     methods: tuple[str, ...] = ()
     at_most_once_methods: tuple[str, ...] = ()
@@ -159,7 +159,7 @@
 
     row: R
     version: int
-    author: str = attrs.field(default="", converter=interning.text)
+    author: str = attrs.field(default="", converter=interning.intern_string)
 
 
 @attrs.frozen
--- a/agaterail/util/interning.py
+++ b/agaterail/util/interning.py
@@ -9,11 +9,11 @@
     from collections.abc import Iterable
 
 
-def text(value: str) -> str:
+def intern_string(value: str) -> str:
     """Return the one copy of an equal text."""
     return sys.intern(value) if type(value) is str else value
 
 
-def texts(values: Iterable[str]) -> tuple[str, ...]:
+def intern_strings(values: Iterable[str]) -> tuple[str, ...]:
     """Return the texts as a tuple of their one copies."""
-    return tuple([text(value) for value in values])
+    return tuple([intern_string(value) for value in values])
--- a/agaterail/util/spread.py
+++ b/agaterail/util/jitter.py
@@ -8,15 +8,15 @@
 if TYPE_CHECKING:
     from agaterail.errors import Answer
 
-DEFAULT_HINT_S = 1.0
-STEPS = 1 << 32
+DEFAULT_RETRY_AFTER_S = 1.0
+HASH_RANGE = 1 << 32
 
 
-def spread(answer: Answer, request_id: str) -> float:
+def jittered_retry_after_s(answer: Answer, request_id: str) -> float:
     """Return a hint between once and twice the table's, fixed by the request id.
 
     Equal hints would bring all refused callers back in the same moment.
     """
-    base_s = answer.retry_after_s or DEFAULT_HINT_S
+    base_s = answer.retry_after_s or DEFAULT_RETRY_AFTER_S
     digest = blake2b(request_id.encode(), digest_size=4).digest()
-    return base_s * (1.0 + int.from_bytes(digest, "big") / STEPS)
+    return base_s * (1.0 + int.from_bytes(digest, "big") / HASH_RANGE)
--- a/agaterail/util/readguard.py
+++ b/agaterail/util/readguard.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-TICKS = 4
+TICKS_PER_TIMEOUT = 4
 
 
 class ReadGuard:
@@ -26,7 +26,9 @@
         self.ticks = 0
         self.expired = False
         sock.settimeout(None)
-        self.timer = gevent.get_hub().loop.timer(seconds / TICKS, seconds / TICKS)
+        self.timer = gevent.get_hub().loop.timer(
+            seconds / TICKS_PER_TIMEOUT, seconds / TICKS_PER_TIMEOUT
+        )
         self.timer.start(self.tick)
 
     def read(self, size: int) -> bytes:
@@ -47,7 +49,7 @@
     def tick(self) -> None:
         """End the read that has waited for too many ticks."""
         self.ticks += 1
-        if self.waiting and self.ticks > TICKS:
+        if self.waiting and self.ticks > TICKS_PER_TIMEOUT:
             self.expired = True
             self.stop()
             self.sock.shutdown(SHUT_RDWR)
--- a/agaterail/util/ring.py
+++ b/agaterail/util/ring.py
@@ -14,18 +14,18 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-NUMBER_BYTES = 8
+HASH_BYTES = 8
 DIGEST_BYTES = 64
 DIGESTS_PER_MEMBER = 12
-PLACE_BITS = 16
+INDEX_BITS = 16
 
 
-def number_of(data: bytes) -> int:
+def hash_64(data: bytes) -> int:
     """Return a well-mixed 64-bit number of some bytes."""
-    return int.from_bytes(blake2b(data, digest_size=NUMBER_BYTES).digest(), "little")
+    return int.from_bytes(blake2b(data, digest_size=HASH_BYTES).digest(), "little")
 
 
-class Ring:
+class HashRing:
     """Members at many points of a circle each; a key belongs to the next point.
 
     Equal members give equal orders in every process, in whatever sequence they
@@ -40,30 +40,30 @@
 
     def __init__(self, members: Sequence[str], digests: int = DIGESTS_PER_MEMBER) -> None:
         self.members = members
-        marked = sorted(
-            point << PLACE_BITS | place
-            for place, member in enumerate(members)
+        packed_points = sorted(
+            point << INDEX_BITS | index
+            for index, member in enumerate(members)
             for point in _points(member, digests)
         )
-        self.points = array("Q", [mark >> PLACE_BITS for mark in marked])
-        mask = (1 << PLACE_BITS) - 1
-        self.places = array("H", [mark & mask for mark in marked])
+        self.points = array("Q", [packed >> INDEX_BITS for packed in packed_points])
+        mask = (1 << INDEX_BITS) - 1
+        self.indices = array("H", [packed & mask for packed in packed_points])
 
-    def first(self, key: int) -> int:
+    def first_index(self, key: int) -> int:
         """Return the place of a key's first member; there must be one."""
-        return self.places[bisect_right(self.points, key) % len(self.places)]
+        return self.indices[bisect_right(self.points, key) % len(self.indices)]
 
-    def ranked(self, key: int, count: int) -> list[int]:
+    def ranked_indices(self, key: int, count: int) -> list[int]:
         """Return the places of a key's first ``count`` members, in order."""
         wanted = min(count, len(self.members))
-        places = self.places
-        step, size = bisect_right(self.points, key), len(places)
+        indices = self.indices
+        position, size = bisect_right(self.points, key), len(indices)
         found: list[int] = []
         while len(found) < wanted:
-            place = places[step % size]
-            if place not in found:
-                found.append(place)
-            step += 1
+            index = indices[position % size]
+            if index not in found:
+                found.append(index)
+            position += 1
         return found
 
 
--- a/tests/test_agaterail/test_cmd/test_main.py
+++ b/tests/test_agaterail/test_cmd/test_main.py
@@ -12,7 +12,7 @@
 from tests.tls import make_tls_files
 
 
-def run_here(*words, environment=None):
+def run_in_process(*words, environment=None):
     out, err = io.StringIO(), io.StringIO()
     with (
         mock.patch.dict(os.environ, environment or {}),
@@ -28,7 +28,7 @@
     # pass an unknown flag on or read 007 as a number; the daemon would then
     # run with settings that nobody asked for. Each must end in one line.
     def assert_refused(self, words, *parts, environment=None):
-        status, out, err = run_here(*words, environment=environment)
+        status, out, err = run_in_process(*words, environment=environment)
         self.assertEqual((status, out), (2, ""))
         lines = err.splitlines()
         self.assertEqual(len(lines), 1, err)
@@ -46,7 +46,7 @@
     def test_a_missing_value(self):
         self.assert_refused(["serve", "--listen"], "--listen (AGATERAIL_LISTEN)", "missing")
 
-    def test_a_host_name_is_no_address(self):
+    def test_a_host_name_is_not_an_address(self):
         self.assert_refused(
             ["serve", "--listen", "localhost:80"], "AGATERAIL_LISTEN", "IP:port"
         )
@@ -66,7 +66,7 @@
     def test_a_bad_address_of_a_table_command(self):
         self.assert_refused(["show", "--log-service", "log:9000"], "AGATERAIL_LOG_SERVICE")
 
-    def test_a_secret_is_needed_off_loopback(self):
+    def test_a_secret_is_required_unless_on_loopback(self):
         self.assert_refused(
             ["serve", "--peer-listen", "10.0.0.1:80"], "AGATERAIL_PEER_SECRET", "loopback"
         )
@@ -74,7 +74,7 @@
     def test_a_certificate_without_its_key(self):
         self.assert_refused(["serve", "--tls-certificate", __file__], "AGATERAIL_TLS_KEY")
 
-    def test_tls_files_that_do_not_fit(self):
+    def test_tls_files_that_do_not_match(self):
         files, others = (make_tls_files(self, ["127.0.0.1"]) for _ in range(2))
         words = ["serve", "--tls-certificate", files.certificate, "--tls-key", others.key]
         self.assert_refused(words, "AGATERAIL_TLS_CERTIFICATE", "cannot be used")
@@ -88,7 +88,7 @@
     def test_apply_without_files_changes_nothing(self):
         self.assert_refused(["apply"], "table file")
 
-    def test_words_that_fire_would_take_for_itself(self):
+    def test_arguments_that_fire_would_interpret(self):
         self.assert_refused(["version", "bit_length"], "'bit_length'")
         self.assert_refused(["version", "--"], "--")
         self.assert_refused(["version", "--interactive"], "--interactive")
@@ -109,15 +109,15 @@
 
 
 class SettingsFromTheCommandLineTest(unittest.TestCase):
-    def printed(self, *words, environment=None):
-        status, out, err = run_here(
+    def print_settings(self, *words, environment=None):
+        status, out, err = run_in_process(
             "serve", "--print-settings", *words, environment=environment
         )
         self.assertEqual(status, 0, err)
         return out, err
 
-    def test_a_flag_goes_before_its_variable_and_keeps_its_text(self):
-        out, _ = self.printed(
+    def test_a_flag_overrides_its_variable_and_is_kept_as_text(self):
+        out, _ = self.print_settings(
             "--domain=007",
             "--peer-listen",
             "127.0.0.1:80",
@@ -129,8 +129,8 @@
         self.assertIn("(AGATERAIL_LOG_LEVEL): error\n", out)
         self.assertIn("(AGATERAIL_LOG_JSON): True\n", out)
 
-    def test_a_variable_that_is_no_setting_is_warned_of(self):
-        out, err = self.printed(
+    def test_an_unknown_variable_causes_a_warning(self):
+        out, err = self.print_settings(
             environment={"AGATERAIL_LISEN": "x", "AGATERAIL_PEER_SECRET": "hidden"}
         )
         self.assertIn("AGATERAIL_LISEN", err)
@@ -140,7 +140,7 @@
 class HelpTest(unittest.TestCase):
     def test_each_command_has_help(self):
         for words in (["--help"], *([name, "--help"] for name in main.COMMANDS)):
-            status, out, err = run_here(*words)
+            status, out, err = run_in_process(*words)
             self.assertEqual((status, err), (0, ""))
             self.assertIn("agaterail", out)
             self.assertNotIn("FIRE", out)
--- a/tests/test_agaterail/test_cmd/test_status.py
+++ b/tests/test_agaterail/test_cmd/test_status.py
@@ -23,15 +23,15 @@
         transport.receive = daemon.app.peers.receive
         transport.start()
         client = MemoryTransport(network, "status")
-        asker = Peers("status", client, client, "")
-        report = json.loads(asker.call(own, StatusQuery()).unwrap().report)
+        peers = Peers("status", client, client, "")
+        report = json.loads(peers.call(own, StatusQuery()).unwrap().report)
         self.assertFalse(report["ready"])
         self.assertEqual(report["tables"]["through"], NO_VERSION)
         self.assertEqual(report["engine_homes"], {})
 
     def test_lines_are_nested_and_complete(self):
         report = {"ready": True, "hosts": {"members": ["a", "b"]}, "share": 0.5, "left": {}}
-        lines = status.lines_of(report)
+        lines = status.format_report(report)
         self.assertEqual(
             lines,
             ["ready: yes", "hosts:", "  members: 2", "    a", "    b", "share: 0.500"]
@@ -45,7 +45,7 @@
         self.assertEqual(len(ended.stderr.splitlines()), 1, ended.stderr)
         self.assertIn(peer, ended.stderr)
 
-    def test_another_daemons_secret_is_needed(self):
+    def test_querying_another_host_requires_the_secret(self):
         err = io.StringIO()
         with contextlib.redirect_stderr(err):
             self.assertEqual(status.status("10.0.0.1:8081", False, {}), 2)
--- a/tests/test_agaterail/test_cmd/test_tables.py
+++ b/tests/test_agaterail/test_cmd/test_tables.py
@@ -72,7 +72,7 @@
         self.assertIn("- routes.chat", self.apply()[1])
         self.assertEqual(set(self.show()["routes"]), set())
 
-    def test_an_empty_directory_deletes_nothing_unless_told(self):
+    def test_an_empty_directory_deletes_nothing_by_default(self):
         # A wrong path or a checkout that failed reads as tables without rows.
         self.apply()
         for file in self.folder.iterdir():
@@ -94,7 +94,7 @@
         self.assertIn("~ routes.chat: priority 9 -> 5", out)
         self.assertEqual(self.log.reads, 0)
 
-    def test_an_outage_is_said_and_changes_nothing(self):
+    def test_an_outage_is_reported(self):
         self.log.faults.down = True
         status, _, err = self.apply()
         self.assertEqual(status, commands.EXIT_FAILED)
@@ -111,7 +111,7 @@
         _, out, _ = self.run_command(commands.history, self.address, as_json=True)
         self.assertEqual(json.loads(out.splitlines()[1])["author"], "bo")
 
-    def test_a_conflict_shows_what_is_in_force_and_by_whom(self):
+    def test_a_conflict_shows_the_current_row_and_its_author(self):
         first = fold(Tables(), edit("e0", put(engine_pool()), put(chat_route())), 0).tables
         taken = fold(first, edit("e1", put(chat_route(priority=1), 0), author="ada"), 1).tables
         late = edit("e2", put(chat_route(priority=2), 0))
@@ -121,8 +121,8 @@
         self.assertIn("priority = 1", text)
 
 
-class ShownTablesTest(unittest.TestCase):
-    def test_what_is_shown_can_be_applied_again(self):
+class ShowRoundTripTest(unittest.TestCase):
+    def test_shown_tables_can_be_applied_again(self):
         # Quotes, control characters, a DEL and letters of all planes must
         # come back as they were.
         workspace = 'a"b\\c\n\x7f\x01ş\U0001f4a1'
--- a/tests/test_agaterail/test_filters/test_claim.py
+++ b/tests/test_agaterail/test_filters/test_claim.py
@@ -186,7 +186,7 @@
     def test_an_unreachable_owner_is_bypassed(self):
         # The daemons cannot reach each other, so each appends to the same partition
         # itself. The offset decides, so the request still runs only once.
-        self.network.cut = {ADDRESSES, ADDRESSES[::-1]}
+        self.network.blocked_links = {ADDRESSES, ADDRESSES[::-1]}
         self.service.faults.slow_ms = 50
         jobs = [gevent.spawn(self.swap, number) for number in (0, 1)]
         gevent.joinall(jobs)
@@ -194,7 +194,7 @@
 
     def test_a_lost_answer_of_the_owner_causes_no_second_claim(self):
         for pair in (ADDRESSES, ADDRESSES[::-1]):
-            self.network.cut = {pair}
+            self.network.blocked_links = {pair}
             response, _ = self.swap(0, key=f"k-{pair[0]}")
             self.assertEqual(response.status_code, 200)
         self.assertEqual(len(self.service.journal), 2)
--- a/tests/test_agaterail/test_peers/test_processes.py
+++ b/tests/test_agaterail/test_peers/test_processes.py
@@ -76,20 +76,20 @@
             process.communicate("\n", timeout=20)
         return counts
 
-    def test_both_ask_each_other_at_once(self):
+    def test_concurrent_calls_in_both_directions_are_answered(self):
         # Each daemon is client and server at the same time, with more calls
         # wanted than gRPC bears under gevent; none may be lost.
         self.assertEqual(self.run_pair(["same", "same"], 40, 5.0), [40, 40])
 
-    def test_another_secret_gets_no_answer(self):
+    def test_a_peer_with_another_secret_gets_no_answer(self):
         self.assertEqual(self.run_pair(["one", "other"], 2, 0.3), [0, 0])
 
-    def test_both_prove_themselves_by_certificates(self):
+    def test_peers_authenticate_each_other_by_certificates(self):
         files = [make_tls_files(self, HOSTS)] * 2
         environments = [files_for_peers(item) for item in files]
         self.assertEqual(self.run_pair(["same", "same"], 5, 5.0, environments), [5, 5])
 
-    def test_a_certificate_of_another_authority_gets_no_answer(self):
+    def test_a_peer_with_a_certificate_of_another_authority_gets_no_answer(self):
         # A process that knows the secret but holds a certificate that the
         # daemons' authority did not sign asks a daemon. The handshake fails
         # on both sides, so neither call is answered.
--- a/tests/test_agaterail/test_platform/test_cacheevents.py
+++ b/tests/test_agaterail/test_platform/test_cacheevents.py
@@ -4,7 +4,7 @@
 import unittest
 
 from agaterail.gateway.kvstoreindex import CacheChange
-from agaterail.platform.cacheevents import decode_news
+from agaterail.platform.cacheevents import decode_cache_changes
 
 ANSWER = {
     "boot_epoch": 77120,
@@ -19,17 +19,17 @@
 
 class DecodeNewsTest(unittest.TestCase):
     def test_events_become_changes(self):
-        news = decode_news(json.dumps(ANSWER).encode())
-        self.assertEqual((news.epoch, news.next_number), (77120, 120))
-        held, dropped = news.changes
+        batch = decode_cache_changes(json.dumps(ANSWER).encode())
+        self.assertEqual((batch.epoch, batch.next_number), (77120, 120))
+        held, dropped = batch.changes
         self.assertEqual(held, CacheChange("v1", "5c1e07a2", True))
         # What is left of a part is of no use to a prompt that needs it whole.
         self.assertEqual(dropped, CacheChange("v1", "91bd3f06", False))
 
-    def test_what_is_no_answer_is_refused(self):
+    def test_a_malformed_answer_is_rejected(self):
         for bad in (b"", b"[]", b"{}", b'{"boot_epoch":1,"next":2,"events":[[1,"+"]]}'):
             with self.assertRaises(ValueError):
-                decode_news(bad)
+                decode_cache_changes(bad)
 
 
 if __name__ == "__main__":
--- a/tests/test_agaterail/test_platform/test_desired.py
+++ b/tests/test_agaterail/test_platform/test_desired.py
@@ -75,16 +75,16 @@
         self.assertEqual(state.limits.max_header_bytes, 100)
         self.assertEqual(state.limits.idle_timeout_s, 1.5)
 
-    def test_a_row_that_cannot_be_read_is_left_out_and_the_others_hold(self):
+    def test_a_malformed_row_is_skipped_and_the_others_are_kept(self):
         bad = {**ROUTE, "name": "bad", "timeout_ms": "soon"}
         state = decode_desired(encode(routes=[bad, ROUTE, 5])).unwrap()
         self.assertEqual([route.name for route in state.routes], ["r"])
 
-    def test_a_state_that_cannot_be_read_is_none(self):
+    def test_a_malformed_state_is_rejected(self):
         for value in (b"\xff", b"[]", encode(version="7"), encode(version=True)):
             self.assertNotIsInstance(decode_desired(value), Success)
 
-    def test_unknown_fields_change_nothing(self):
+    def test_unknown_fields_are_ignored(self):
         self.assertEqual(decode_desired(encode(more=1)).unwrap().version, 7)
 
     def test_weights_are_decoded(self):
@@ -104,11 +104,13 @@
 
     def decode(self, rows):
         """Return the state and how many routes were decoded for it."""
-        with mock.patch.object(desired, "_route", wraps=desired._route) as decode:
+        with mock.patch.object(
+            desired, "_decode_route", wraps=desired._decode_route
+        ) as decode:
             state = decode_desired(encode(routes=rows), self.decoder).unwrap()
         return state, decode.call_count
 
-    def test_a_row_that_did_not_change_is_not_decoded_again(self):
+    def test_an_unchanged_row_is_not_decoded_again(self):
         self.assertEqual(self.decode(self.rows)[1], 200)
         self.rows[7] = {**self.rows[7], "timeout_ms": 100}
         state, decoded = self.decode(self.rows)
@@ -116,20 +118,20 @@
         self.assertEqual([route.name for route in state.routes][7:9], ["r-7", "r-8"])
         self.assertEqual(state.routes[7].timeout_s, 0.1)
 
-    def test_rows_that_are_gone_or_moved_are_so_in_the_state(self):
+    def test_removed_and_reordered_rows_are_reflected_in_the_state(self):
         self.decode(self.rows)
         state, decoded = self.decode([self.rows[5], self.rows[2], self.rows[5]])
         self.assertEqual(decoded, 0)
         self.assertEqual([route.name for route in state.routes], ["r-5", "r-2", "r-5"])
 
-    def test_a_row_that_cannot_be_read_is_reported_once(self):
+    def test_a_malformed_row_is_reported_once(self):
         self.rows[3] = {**self.rows[3], "timeout_ms": "soon"}
         with mock.patch.object(desired.logger, "warning") as warn:
             self.decode(self.rows)
             state, _ = self.decode(self.rows)
         self.assertEqual((warn.call_count, len(state.routes)), (1, 199))
 
-    def test_requests_go_on_while_new_rows_are_decoded(self):
+    def test_decoding_new_rows_yields_to_other_greenlets(self):
         turns = []
         other = gevent.spawn(lambda: [turns.append(gevent.sleep(0.0)) for _ in range(5)])
         self.decode(self.rows)
@@ -159,7 +161,7 @@
         self.assertTrue(found.ready)
         self.assertFalse(self.decode(state="draining").unwrap().ready)
 
-    def test_a_foreign_entry_names_no_target(self):
+    def test_a_malformed_entry_is_rejected(self):
         for changes in (
             {"state": "resting"},
             {"address": "here"},
--- a/tests/test_agaterail/test_platform/test_feedrecords.py
+++ b/tests/test_agaterail/test_platform/test_feedrecords.py
@@ -3,51 +3,53 @@
 import unittest
 
 from agaterail.gateway.controlstore import Feed, FeedRecord, WeightsNamed
-from agaterail.platform.feedrecords import RecordDecoder, of_log, split
+from agaterail.platform.feedrecords import RecordDecoder, decode_log, split_records
 
 
 def record(offset, value, key="config"):
     return FeedRecord(offset, key, value)
 
 
-class TypedTest(unittest.TestCase):
+class RecordDecoderTest(unittest.TestCase):
     def setUp(self):
         self.decoder = RecordDecoder()
 
-    def typed(self, *records):
-        found = self.decoder.typed(Feed.OPERATORS, list(records))
+    def to_records(self, *records):
+        found = self.decoder.to_records(Feed.OPERATORS, list(records))
         return [(item.offset, item.document.members) for item in found]
 
-    def test_the_newest_of_each_key_counts(self):
+    def test_only_the_newest_record_of_each_key_is_kept(self):
         weights = record(2, b'{"version": 9}', key="version/m")
-        found = self.typed(record(1, b'{"v": 1}'), weights, record(3, b'{"v": 3}'))
+        found = self.to_records(record(1, b'{"v": 1}'), weights, record(3, b'{"v": 3}'))
         self.assertEqual(found, [(2, {"version": b"9"}), (3, {"v": b"3"})])
 
-    def test_a_record_that_cannot_be_read_does_not_hide_the_one_before(self):
+    def test_a_malformed_record_does_not_hide_the_previous_one(self):
         # Somebody writes rubbish right after a valid state. Left out with the one
         # before it, hosts would stay on an older state.
-        found = self.typed(record(1, b'{"v": 1}'), record(2, b'{"v": '), record(3, b""))
+        found = self.to_records(record(1, b'{"v": 1}'), record(2, b'{"v": '), record(3, b""))
         self.assertEqual(found, [(1, {"v": b"1"})])
 
-    def test_weights_are_found_in_their_document(self):
+    def test_weights_are_decoded_from_their_document(self):
         weights = record(2, b'{"model": "m", "version": 9}', key="version/m")
-        (found,) = self.decoder.typed(Feed.OPERATORS, [weights])
-        self.assertEqual(self.decoder.change(Feed.OPERATORS, found), WeightsNamed(2, "m", 9))
+        (found,) = self.decoder.to_records(Feed.OPERATORS, [weights])
+        self.assertEqual(
+            self.decoder.decode_change(Feed.OPERATORS, found), WeightsNamed(2, "m", 9)
+        )
 
     def test_other_feeds_keep_each_record(self):
         records = [record(1, b"x"), record(2, b"y")]
-        self.assertEqual(self.decoder.typed(Feed.TARGETS, records), records)
+        self.assertEqual(self.decoder.to_records(Feed.TARGETS, records), records)
 
 
-class LogTest(unittest.TestCase):
+class LogRecordsTest(unittest.TestCase):
     def test_records_are_split_by_their_lengths(self):
         data = b"\0\0\0\x02\x01a" + b"\0\0\0\x03\x01bc"
-        raw = split(data, 7)
+        raw = split_records(data, 7)
         self.assertEqual(raw, [(7, b"\x01a"), (8, b"\x01bc")])
         self.assertEqual(
-            of_log(Feed.TARGETS, raw), [FeedRecord(7, "a", b""), FeedRecord(8, "b", b"c")]
+            decode_log(Feed.TARGETS, raw), [FeedRecord(7, "a", b""), FeedRecord(8, "b", b"c")]
         )
 
-    def test_a_cut_record_is_noticed(self):
+    def test_a_truncated_record_is_detected(self):
         for data in (b"\0\0", b"\0\0\0\x02a", b"\0\0\0\0\0"):
-            self.assertIsNone(split(data, 0))
+            self.assertIsNone(split_records(data, 0))
--- a/tests/test_agaterail/test_platform/test_requests.py
+++ b/tests/test_agaterail/test_platform/test_requests.py
@@ -28,7 +28,7 @@
 
 
 class DecodeRequestTest(unittest.TestCase):
-    def test_all_that_the_headers_say_is_filled_in(self):
+    def test_all_headers_are_decoded(self):
         inbound = decode_request(make_inbound()).unwrap()
         self.assertEqual(inbound.host, "h.example")
         self.assertEqual(inbound.request_id, "abc")
@@ -38,14 +38,14 @@
         self.assertEqual(inbound.prompt[1], PromptPart("91bd3f06", 410))
         self.assertEqual(len(inbound.shared_parts), 2)
 
-    def test_a_deciding_header_that_comes_twice_is_refused(self):
+    def test_a_duplicate_single_valued_header_is_refused(self):
         # Router and target might each read another one of the two.
         for name in (b"Request-Id", b"host", b"AUTHORIZATION", b"Model", b"Deadline-Ms"):
             with self.subTest(name):
                 found = decode_request(make_inbound([*HEADERS, (name, b"1")]))
                 self.assertNotIsInstance(found, Success)
 
-    def test_headers_that_cannot_be_read_are_refused(self):
+    def test_malformed_headers_are_refused(self):
         for name, value in (
             (b"Deadline-Ms", b"soon"),
             (b"Deadline-Ms", b"-1"),
@@ -64,7 +64,7 @@
         head = AttemptHead(time_left_s=1.5, instance="i-1", **fields)
         return encode_attempt(inbound, head).split(b"\r\n")
 
-    def test_what_the_caller_sent_is_kept_and_the_key_is_not(self):
+    def test_the_caller_s_headers_are_forwarded_without_the_api_key(self):
         lines = self.lines(make_inbound(), workspace="w")
         self.assertEqual(lines[0], b"POST /a/%2F?q HTTP/1.1")
         self.assertIn(b"Request-Id: abc", lines)
@@ -75,7 +75,7 @@
         self.assertIn(b"Content-Length: 3", lines)
         self.assertFalse(any(b"Bearer" in line for line in lines))
 
-    def test_a_caller_cannot_set_what_the_router_sets(self):
+    def test_a_caller_cannot_set_router_only_headers(self):
         # A caller that names another workspace's cache scope, a memory handle
         # or a tenant would read or hold what is not its own.
         forged = [
@@ -97,27 +97,27 @@
         lines = self.lines(make_inbound([*HEADERS, *forged]))
         self.assertFalse(any(b"evil" in line for line in lines))
 
-    def test_headers_of_the_connection_are_left_out(self):
+    def test_hop_by_hop_headers_are_removed(self):
         extra = [(b"Connection", b"close, X-Hop"), (b"X-Hop", b"1"), (b"TE", b"trailers")]
         lines = self.lines(make_inbound([*HEADERS, *extra]))
         self.assertFalse(any(b"X-Hop" in line or b"TE:" in line for line in lines))
 
-    def test_a_caller_cannot_have_a_deciding_header_removed(self):
+    def test_a_caller_cannot_have_a_single_valued_header_removed(self):
         extra = [(b"Connection", b"Model, Request-Id")]
         self.assertIn(b"Model: m1", self.lines(make_inbound([*HEADERS, *extra])))
 
-    def test_a_request_without_a_body_has_no_length(self):
+    def test_a_request_without_a_body_has_no_content_length(self):
         lines = self.lines(make_inbound(method=b"GET", body=b""))
         self.assertFalse(any(line.startswith(b"Content-Length") for line in lines))
 
 
 class DecodeAnswerHeadTest(unittest.TestCase):
-    def test_only_the_protocol_s_form_says_that_it_did_not_run(self):
+    def test_only_an_explicit_refusal_counts_as_not_run(self):
         self.assertTrue(decode_answer_head(503, [(b"Not-Run", b"1")]).not_run)
         self.assertTrue(decode_answer_head(421, []).not_run)
         self.assertFalse(decode_answer_head(503, []).not_run)
 
-    def test_headers_of_the_connection_are_not_passed_on(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         head = decode_answer_head(
             200,
             [
@@ -132,7 +132,7 @@
         self.assertEqual(head.keep_alive_s, 7.0)
         self.assertEqual(head.weights_version, 3)
 
-    def test_an_own_answer_names_the_request_and_when_to_come_back(self):
+    def test_a_generated_answer_has_the_request_id_and_retry_after(self):
         self.assertEqual(
             encode_failure_headers("abc", 0.25), [b"Request-Id: abc", b"Retry-After: 0.250"]
         )
--- a/tests/test_agaterail/test_policies/test_cost.py
+++ b/tests/test_agaterail/test_policies/test_cost.py
@@ -8,7 +8,7 @@
 from agaterail.policies.cost import HASH_CANDIDATES, CostPolicy, PoolRanking
 from agaterail.prefix import Prefix
 from agaterail.targets import TargetStateTable
-from agaterail.util.ring import number_of
+from agaterail.util.ring import hash_64
 from tests.support import chat_route, engine_pool
 
 ADDRESSES = tuple(f"10.0.1.{number}:80" for number in range(6))
@@ -139,7 +139,7 @@
         ranking = PoolRanking(targets)
         pairs = collections.Counter()
         for number in range(8000):
-            first, second = ranking.ranked(number_of(b"%d" % number).to_bytes(8, "big"), 2)
+            first, second = ranking.ranked(hash_64(b"%d" % number).to_bytes(8, "big"), 2)
             pairs[first.address] += 1
             pairs[first.address, second.address] += 1
         firsts = [count for name, count in pairs.items() if isinstance(name, str)]
@@ -154,6 +154,6 @@
         targets = engine_pool(ADDRESSES).targets
         whole, fewer = PoolRanking(targets), PoolRanking(targets[1:])
         for number in range(50):
-            key = number_of(b"%d" % number).to_bytes(8, "little")
+            key = hash_64(b"%d" % number).to_bytes(8, "little")
             kept = [entry for entry in whole.ranked(key, 6) if entry != targets[0]]
             self.assertEqual(kept, fewer.ranked(key, 6))
--- a/tests/test_agaterail/test_util/test_readguard.py
+++ b/tests/test_agaterail/test_util/test_readguard.py
@@ -5,9 +5,9 @@
 
 import gevent
 
-from agaterail.util.readguard import TICKS, ReadGuard
+from agaterail.util.readguard import TICKS_PER_TIMEOUT, ReadGuard
 
-NEVER_S = 1000.0
+LONG_TIMEOUT_S = 1000.0
 
 
 class ReadGuardTest(unittest.TestCase):
@@ -15,7 +15,7 @@
         self.near, self.far = socket.socketpair()
         self.addCleanup(self.near.close)
         self.addCleanup(self.far.close)
-        self.guard = ReadGuard(self.near, NEVER_S)
+        self.guard = ReadGuard(self.near, LONG_TIMEOUT_S)
         self.addCleanup(self.guard.stop)
 
     def start_read(self):
@@ -27,28 +27,28 @@
         # The engine goes silent in the middle of a stream. The caller must
         # not wait for good: the read ends once a whole bound has passed.
         reader = self.start_read()
-        for _ in range(TICKS):
+        for _ in range(TICKS_PER_TIMEOUT):
             self.guard.tick()
         self.assertFalse(reader.ready())
         self.guard.tick()
         with self.assertRaises(TimeoutError):
             reader.get(timeout=5)
 
-    def test_each_read_has_the_whole_bound(self):
+    def test_each_read_has_the_whole_timeout(self):
         for _ in range(3):
             reader = self.start_read()
-            for _ in range(TICKS):
+            for _ in range(TICKS_PER_TIMEOUT):
                 self.guard.tick()
             self.far.sendall(b"event")
             self.assertEqual(reader.get(timeout=5), b"event")
 
     def test_time_between_reads_does_not_count(self):
-        for _ in range(3 * TICKS):
+        for _ in range(3 * TICKS_PER_TIMEOUT):
             self.guard.tick()
         self.far.sendall(b"event")
         self.assertEqual(self.start_read().get(timeout=5), b"event")
 
-    def test_the_end_of_the_connection_is_no_timeout(self):
+    def test_the_end_of_the_connection_is_not_a_timeout(self):
         reader = self.start_read()
         self.far.close()
         self.assertEqual(reader.get(timeout=5), b"")
--- a/tools/slopes/state.py
+++ b/tools/slopes/state.py
@@ -13,7 +13,7 @@
 from agaterail.filters.match import CallerIndex
 from agaterail.fold import fold
 from agaterail.homes import HomeMap
-from agaterail.hostlists.http import _host_of
+from agaterail.hostlists.http import _parse_host
 from agaterail.logstore.memory import MemoryLogStore
 from agaterail.records import Action, Change, Edit, TablesRecord
 from agaterail.settings import Settings
@@ -151,7 +151,7 @@
 def _list_cpu(count: int) -> Point:
     data = json.dumps({"hosts": _host_lines(count)})
     return Point(
-        count, cpu_s(lambda: tuple(_host_of(line) for line in json.loads(data)["hosts"]))
+        count, cpu_s(lambda: tuple(_parse_host(line) for line in json.loads(data)["hosts"]))
     )
 
 
