--- a/agaterail/cmd/arguments.py
+++ b/agaterail/cmd/arguments.py
@@ -1,11 +1,10 @@
-"""Check the words of a command line before fire sees them.
-
-Fire takes what it is given: it drops the value of a flag that has none, passes
-unknown flags on where a command takes any, and goes on to attributes of the
-result with words that are left over. It also reads values as Python literals,
-so that ``1e3`` or ``None`` would not stay texts. Here each word is checked
-against the command's signature, and fire gets each value as a literal of its
-text.
+"""Check the arguments of a command line before they are passed to fire.
+
+Fire is lenient: it accepts a flag whose value is missing, passes unknown flags on to
+commands with keyword arguments, and uses left-over arguments to access attributes of the
+result. It also parses values as Python literals, so ``1e3`` or ``None`` would not stay
+strings. Here each argument is checked against the command's signature, and fire gets each
+value as a string literal.
 """
 
 from __future__ import annotations
@@ -29,14 +28,14 @@
 
 @attrs.frozen
 class CommandSignature:
-    """What a command takes.
+    """The flags and paths that a command accepts.
 
     Attributes
     ----------
     values, switches
-        Names of flags that need a value, and of flags that do not.
+        Names of the flags that require a value, and of the boolean flags.
     paths
-        Whether the command needs paths.
+        Whether the command requires paths.
     """
 
     values: frozenset[str]
@@ -44,15 +43,15 @@
     paths: bool
 
     def has_flag(self, name: str) -> bool:
-        """Tell whether there is such a flag."""
+        """Return whether the command accepts a flag."""
         return name in self.values or name in self.switches
 
 
 def signature_of(command: Callable[..., int]) -> CommandSignature:
-    """Read from the signature what a command takes.
+    """Derive the accepted flags and paths from the parameters of a command.
 
-    A parameter whose default is the text ``false`` is a switch. A command that
-    takes any keyword takes the settings.
+    A parameter whose default is the string ``false`` is a switch. A command with
+    arbitrary keyword parameters accepts all settings as flags.
     """
     values: set[str] = set()
     switches: set[str] = set()
@@ -72,7 +71,7 @@
 def check(
     arguments: Sequence[str], signature: CommandSignature
 ) -> Result[list[str], list[str]]:
-    """Return the words as fire should get them, or one line for each problem."""
+    """Return the arguments to pass to fire, or one line for each problem."""
     problems: list[str] = []
     paths: list[str] = []
     flags: dict[str, str] = {}
@@ -110,7 +109,7 @@
 
 
 def describe_flag(name: str) -> str:
-    """Return a flag with its variable, if it is a setting."""
+    """Return a flag, with its environment variable if it is a setting."""
     flag = Settings.flag_of(name)
     if name in {field.name for field in attrs.fields(Settings)}:
         return f"{flag} ({Settings.variable_of(name)})"
@@ -122,14 +121,14 @@
     known = [Settings.flag_of(name) for name in signature.values | signature.switches]
     matches = difflib.get_close_matches(flag.replace("_", "-"), sorted(known), n=1)
     if not matches:
-        return f"{flag}: there is no such flag"
+        return f"{flag}: no such flag"
     name = matches[0].removeprefix(FLAG).replace("-", "_")
-    return f"{flag}: there is no such flag; did you mean {describe_flag(name)}?"
+    return f"{flag}: no such flag; did you mean {describe_flag(name)}?"
 
 
 def _path_problems(paths: list[str], signature: CommandSignature) -> list[str]:
     if signature.paths and not paths:
-        return ["Name at least one table file or directory."]
+        return ["At least one table file or directory is required."]
     if paths and not signature.paths:
-        return [f"{argument!r}: this command takes flags only" for argument in paths]
+        return [f"{argument!r}: this command accepts only flags" for argument in paths]
     return []
--- a/agaterail/cmd/main.py
+++ b/agaterail/cmd/main.py
@@ -51,20 +51,20 @@
 class Commands:
     """Router for language-model traffic with long shared prompts.
 
-    serve runs the daemon; check, diff, apply, show and history are for the
-    tables; status asks a running daemon. Each command has its own --help.
+    serve runs the daemon; check, diff, apply, show and history work on the
+    tables; status queries a running daemon. Each command has its own --help.
     """
 
     def serve(self, print_settings: str = "false", **flags: str) -> int:
         """Run the daemon until SIGTERM, then drain and exit.
 
-        Each setting is a flag (--listen) or a variable (AGATERAIL_LISTEN); a
-        flag goes before its variable, which goes before the default.
+        Each setting can be given as a flag (--listen) or an environment variable
+        (AGATERAIL_LISTEN). A flag overrides the variable, which overrides the default.
 
         Parameters
         ----------
         print_settings
-            Print all settings with their values and end.
+            Print all settings with their values and exit.
         """
         return serve(flags, print_only=print_settings != "false")
 
@@ -74,53 +74,54 @@
         Parameters
         ----------
         settings_file
-            File that the platform gives to each process; its variable names it.
+            Settings file that the platform provides; by default the file named in
+            AGATERAIL_NODE_FILE.
         """
         from agaterail.cmd.gateway import gateway
 
         return gateway(settings_file)
 
     def story(self, request_id: str, *paths: str, around: str = "2") -> int:
-        """Print one request's log lines over several hosts, in order of time.
+        """Print the log lines of one request on all hosts, in order of time.
 
-        Reads files, or standard input. Lines of its hosts that changed what
-        they believe, shortly before and meanwhile, stand among them.
+        Reads log files, or standard input. The output includes changes of state on the
+        request's hosts, from shortly before the request until its end.
 
         Parameters
         ----------
         around
-            Seconds before the request whose changes of belief are shown.
+            Seconds before the request for which changes of state are included.
         """
         from agaterail.cmd.story import print_trace
 
         try:
             seconds = float(around)
         except ValueError:
-            return _usage_error(f"--around: {around!r} is no number of seconds.")
+            return _usage_error(f"--around: {around!r} is not a number of seconds.")
         return print_trace(request_id, paths, seconds)
 
     def losses(self, *paths: str, slot: str = "2") -> int:
-        """Group the requests that got no whole answer in time by cause and route.
+        """Group requests that got no complete answer in time by cause and route.
 
-        Reads the gateway's log files, or standard input; names the spans of time
-        with the most, and ids for ``story``.
+        Reads the gateway's log files, or standard input. Prints the time slots with the
+        most of them, and example request ids for ``story``.
 
         Parameters
         ----------
         slot
-            Length of a span of time in whole seconds.
+            Length of a time slot in whole seconds.
         """
         from agaterail.cmd.losses import print_losses
 
         if not slot.isdigit():
-            return _usage_error(f"--slot: {slot!r} is no whole number of seconds.")
+            return _usage_error(f"--slot: {slot!r} is not a whole number of seconds.")
         return print_losses(paths, int(slot))
 
     def check(self, *paths: str) -> int:
-        """Check table files (TOML) by themselves; the log is not asked.
+        """Check table files (TOML) without reading the log.
 
-        Names every problem with its file, row and field. Exits 0 if there is
-        none, else 2.
+        Reports every problem with its file, row and field. Exits with 0 if there is
+        none, else with 2.
         """
         return check(paths)
 
@@ -132,7 +133,7 @@
         log_service
             Address of the platform's log, IP:port (AGATERAIL_LOG_SERVICE).
         against
-            Directory or file to compare with instead of what is in force.
+            Directory or file to compare with instead of the tables in force.
         """
         return _with_log_address(log_service, lambda address: diff(paths, address, against))
 
@@ -145,23 +146,23 @@
         allow_empty: str = "false",
         in_parts: str = "false",
     ) -> int:
-        """Make the tables in force equal to the files, all or nothing.
+        """Change the tables in force to match the files, atomically.
 
-        Exits 0 only after the edit was read back as accepted, 1 if it was
-        refused, 3 if it was sent and could not be read back.
+        Exits with 0 only after the edit was read back as accepted, with 1 if it was
+        refused, and with 3 if it was sent but could not be read back.
 
         Parameters
         ----------
         log_service
             Address of the platform's log, IP:port (AGATERAIL_LOG_SERVICE).
         author
-            Name kept with the edit (AGATERAIL_AUTHOR); needed.
+            Name recorded with the edit (AGATERAIL_AUTHOR); required.
         dry_run
-            Print the plan and end.
+            Print the plan and exit.
         allow_empty
-            Apply files without any row, which deletes all rows.
+            Allow files without any row, which deletes all rows.
         in_parts
-            Split an edit that is larger than a record of the log.
+            Split an edit that is larger than a record of the log into several.
         """
         return _with_log_address(
             log_service,
@@ -188,23 +189,23 @@
         return _with_log_address(log_service, lambda address: show(address, json != "false"))
 
     def history(self, log_service: str = "", json: str = "false") -> int:
-        """Print the edits that the log still keeps and how each was judged.
+        """Print the edits that the log still retains, with the verdict on each.
 
         Parameters
         ----------
         log_service
             Address of the platform's log, IP:port (AGATERAIL_LOG_SERVICE).
         json
-            Print one JSON object a line.
+            Print one JSON object per line.
         """
         return _with_log_address(
             log_service, lambda address: history(address, json != "false")
         )
 
     def status(self, peer: str = "", json: str = "false", **flags: str) -> int:
-        """Ask a daemon for its tables version, members, engines and limits.
+        """Print a daemon's tables version, members, engines and limits.
 
-        The daemons' shared secret comes from AGATERAIL_PEER_SECRET.
+        The daemons' shared secret is read from AGATERAIL_PEER_SECRET.
 
         Parameters
         ----------
@@ -227,7 +228,7 @@
         code = run(list(sys.argv[1:] if argv is None else argv))
     except KeyboardInterrupt:
         code = EXIT_INTERRUPTED
-    except Exception as error:  # the operator gets one line in any case
+    except Exception as error:  # report every failure as one line, not as a traceback
         print(f"{PROGRAM}: {type(error).__name__}: {error}", file=sys.stderr)
         code = EXIT_FAILED
     sys.exit(code)
@@ -236,7 +237,7 @@
 def run(argv: list[str]) -> int:
     """Run one command and return its exit status."""
     if not argv:
-        return _usage_error(f"Name a command: {', '.join(COMMANDS)}.")
+        return _usage_error(f"A command is required: {', '.join(COMMANDS)}.")
     name, *rest = argv
     if name in HELP_ARGUMENTS:
         return _print_help(Commands(), PROGRAM)
@@ -263,8 +264,8 @@
 
 
 def _print_help(component: object, name: str) -> int:
-    # Printed here and not by fire, whose pager would start a process. Short
-    # flags are left out: they would change their meaning with each new flag.
+    # Fire would start a pager process, so the text is printed here. The short flags that
+    # fire derives are removed, because new flags would change their meaning.
     text = HelpText(component, FireTrace(component, name=name))
     print(HELP_FLAG.sub(lambda match: match[1].replace("_", "-"), text))
     if name.endswith(" serve"):
@@ -276,8 +277,12 @@
 
 def _unknown_command(name: str) -> str:
     matches = difflib.get_close_matches(name, COMMANDS, n=1)
-    hint = f"did you mean {matches[0]}?" if matches else f"there are {', '.join(COMMANDS)}."
-    return f"{name!r}: there is no such command; {hint}"
+    hint = (
+        f"did you mean {matches[0]}?"
+        if matches
+        else f"the commands are {', '.join(COMMANDS)}."
+    )
+    return f"{name!r}: no such command; {hint}"
 
 
 def _usage_error(*lines: str) -> int:
--- a/agaterail/cmd/serve.py
+++ b/agaterail/cmd/serve.py
@@ -22,14 +22,14 @@
 
 
 def serve(flags: Mapping[str, str], print_only: bool = False) -> int:
-    """Run the daemon until it has drained; returns the exit status."""
+    """Run the daemon until it has drained; return the exit status."""
     loaded = settings_rules.load(flags, os.environ)
     if not isinstance(loaded, Success):
         for problem in loaded.failure():
             print(problem, file=sys.stderr)
         return EXIT_USAGE
     for name in settings.unknown_variables(os.environ):
-        print(f"Warning: {name} is no setting.", file=sys.stderr)
+        print(f"Warning: {name} is not a setting.", file=sys.stderr)
     chosen = loaded.unwrap()
     if print_only:
         _print_settings(chosen)
--- a/agaterail/cmd/status.py
+++ b/agaterail/cmd/status.py
@@ -1,4 +1,4 @@
-"""The ``status`` command: ask a running daemon."""
+"""The ``status`` command: query a running daemon."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def status(peer: str, as_json: bool, flags: Mapping[str, str]) -> int:
-    """Print the status of the daemon at ``peer``; returns the exit status."""
+    """Print the status of the daemon at ``peer``; return the exit status."""
     all_flags = {**flags, "peer_listen": peer} if peer else dict(flags)
     loaded = settings_rules.load(all_flags, os.environ)
     if not isinstance(loaded, Success):
@@ -34,7 +34,7 @@
     answer = _query_status(loaded.unwrap())
     if not isinstance(answer, Success):
         address = loaded.unwrap().peer_listen
-        print(f"The daemon at {address} gave no answer: {answer.failure()}", file=sys.stderr)
+        print(f"The daemon at {address} did not answer: {answer.failure()}", file=sys.stderr)
         return EXIT_FAILED
     report = json.loads(answer.unwrap().report)
     if as_json:
@@ -45,7 +45,7 @@
 
 
 def format_report(report: Mapping[str, Any], indent: str = "") -> list[str]:
-    """Return a report as one line for each value, nested by indentation."""
+    """Format a report as one line per value, nested by indentation."""
     lines: list[str] = []
     for name, value in report.items():
         if isinstance(value, dict):
@@ -71,7 +71,7 @@
     from agaterail.peers.memory import MemoryNetwork, MemoryTransport
 
     calls = GrpcTransport(chosen.peer_listen, chosen)
-    # A short-lived client: it listens on no port and gets no hints.
+    # A short-lived client: it listens on no port and receives no hints.
     peers = Peers("status", calls, MemoryTransport(MemoryNetwork(), ""), chosen.peer_secret)
     try:
         return peers.call(str(chosen.peer_listen), StatusQuery(), TIMEOUT_S)
--- a/agaterail/cmd/tables.py
+++ b/agaterail/cmd/tables.py
@@ -35,24 +35,23 @@
 LOG_VARIABLE = "AGATERAIL_LOG_SERVICE"
 DEFAULT_LOG = "127.0.0.1:9000"
 LOG_OUTAGE_HINT = (
-    "This may be an outage of the log. The daemons go on with the tables in force; "
+    "This may be an outage of the log. The daemons continue with the tables in force; "
     "try again later."
 )
 
 
 def check(paths: Sequence[str]) -> int:
-    """Check table files by themselves; returns the exit status."""
+    """Check table files without reading the log; return the exit status."""
     return 0 if _read_files(paths) is not None else EXIT_USAGE
 
 
 def diff(paths: Sequence[str], log_service: str, against: str = "") -> int:
-    """Print what applying files would change; returns the exit status.
+    """Print what applying files would change; return the exit status.
 
     Parameters
     ----------
     against
-        Files to compare with instead of what is in force; the log is not
-        asked.
+        Files to compare with instead of the tables in force; the log is then not read.
     """
     desired = _read_files(paths)
     if desired is None:
@@ -72,16 +71,16 @@
     allow_empty: bool = False,
     in_parts: bool = False,
 ) -> int:
-    """Append one edit and report its verdict; returns the exit status."""
+    """Append the changes as an edit and report the verdict; return the exit status."""
     author = author or os.environ.get(AUTHOR_VARIABLE, "")
     if not author and not dry_run:
-        return _usage_error(f"An edit needs an author: give --author or {AUTHOR_VARIABLE}.")
+        return _usage_error(f"An edit needs an author: use --author or {AUTHOR_VARIABLE}.")
     desired = _read_files(paths)
     if desired is None:
         return EXIT_USAGE
     if not desired.routes and not desired.pools and not allow_empty:
-        # A wrong directory reads as empty tables, which would delete all rows.
-        return _usage_error("The files hold no row. To delete all rows give --allow-empty.")
+        # A wrong directory looks like empty tables, and applying these would delete all rows.
+        return _usage_error("The files contain no rows. Use --allow-empty to delete all rows.")
     log = _open_log(log_service)
     reader = TablesReader(log)
     if not _read_to_end(reader):
@@ -94,7 +93,7 @@
 
 
 def show(log_service: str, as_json: bool = False) -> int:
-    """Print the tables in force; returns the exit status."""
+    """Print the tables in force; return the exit status."""
     current = _read_current(_open_log(log_service))
     if current is None:
         return EXIT_FAILED
@@ -103,14 +102,14 @@
 
 
 def history(log_service: str, as_json: bool = False) -> int:
-    """Print each record that is kept, with its verdict; returns the exit status."""
+    """Print each retained record with its verdict; return the exit status."""
     reader = TablesReader(_open_log(log_service))
     line = table_text.history_json if as_json else table_text.history_line
     while True:
         stepped = reader.step()
         if not isinstance(stepped, Success):
             print(
-                f"The log gave no answer: {stepped.failure()}. {LOG_OUTAGE_HINT}",
+                f"The log did not answer: {stepped.failure()}. {LOG_OUTAGE_HINT}",
                 file=sys.stderr,
             )
             return EXIT_FAILED
@@ -120,7 +119,7 @@
             return EXIT_FAILED
         if step.adopted:
             through = reader.tables.through
-            print(f"Starts from a snapshot through offset {through}.", file=sys.stderr)
+            print(f"Starting from a snapshot through offset {through}.", file=sys.stderr)
         _print(line(judged) for judged in step.records)
         if step.at_end:
             return 0
@@ -150,7 +149,7 @@
 
 
 def report_verdict(edit: Edit, result: Result[FoldResult, SubmitFailure]) -> int:
-    """Print how an edit was judged; returns the exit status."""
+    """Print the verdict on an edit; return the exit status."""
     if not isinstance(result, Success):
         return _report_failure(edit, result.failure())
     folded = result.unwrap()
@@ -166,18 +165,20 @@
 def _report_failure(edit: Edit, failure: SubmitFailure) -> int:
     if failure.kind is SubmitError.TOO_LARGE:
         print(
-            f"The edit has {editing.edit_size(edit)} bytes and the log takes "
-            f"{MAX_RECORD_BYTES} at a time. Nothing was changed. With --in-parts it is "
-            "applied as several edits, each all or nothing by itself.",
+            f"The edit has {editing.edit_size(edit)} bytes, but the log accepts at most "
+            f"{MAX_RECORD_BYTES} per record. Nothing was changed. With --in-parts it is "
+            "applied as several edits, each of them atomic.",
             file=sys.stderr,
         )
         return EXIT_FAILED
     if failure.kind is SubmitError.NOT_SENT:
-        print(f"The log took no edit: {failure.detail}. Nothing was changed.", file=sys.stderr)
+        print(
+            f"The edit was not sent: {failure.detail}. Nothing was changed.", file=sys.stderr
+        )
         return EXIT_FAILED
     print(
-        f"Edit {edit.edit_id} was sent and not read back: {failure.detail}. It may still "
-        "come into force; look for its id in the history before you apply again.",
+        f"Edit {edit.edit_id} was sent but could not be read back: {failure.detail}. It may "
+        "still take effect; look for its id in the history before applying it again.",
         file=sys.stderr,
     )
     return EXIT_OUTCOME_UNKNOWN
--- a/agaterail/engines/__init__.py
+++ b/agaterail/engines/__init__.py
@@ -1,4 +1,4 @@
-"""Model engines, behind one interface."""
+"""Interface to model engines."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     request_id
         Id of this attempt; the engine repeats it in its answer.
     cache_salt
-        Scope of the cached blocks: requests with other salts share none.
+        Scope of the cached blocks; requests with different salts share no blocks.
     weights_version
-        Weights that must answer; an engine with others refuses. Empty for any.
+        Required weights version; an engine with another one refuses. Empty for any.
     position
-        First event wanted; larger than 0 only to resume a stream.
+        Number of the first event to send; greater than 0 only to resume a stream.
     """
 
     request_id: str
@@ -43,18 +43,19 @@
 
 
 class EngineReply(abc.ABC):
-    """Answer head of an engine with a body that is still arriving.
+    """Head of an engine's answer, whose body is still arriving.
 
     Attributes
     ----------
     status
         HTTP status.
     request_id
-        Id that the engine says the answer is for.
+        Id of the attempt that the engine says it answers.
     weights_version
-        Weights that produced the answer.
+        Weights version that produced the answer.
     refused
-        The engine says, in the form its protocol defines, that it did not run.
+        Whether the engine states, in the form that its protocol defines, that the
+        request did not run.
     """
 
     status: int
@@ -65,27 +66,27 @@
 
     @abc.abstractmethod
     def read_available(self) -> bytes:
-        """Return the next bytes, or nothing at the end; raises OSError."""
+        """Return the next bytes, or empty bytes at the end; raises OSError."""
 
     @abc.abstractmethod
     def set_read_timeout(self, seconds: float) -> None:
-        """Bound the wait of each later read."""
+        """Set the timeout of each later read."""
 
     @abc.abstractmethod
     def discard(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
 
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """Load of an engine as it was ``age_ms`` ago.
+    """Load of an engine, as of ``age_ms`` milliseconds ago.
 
     Attributes
     ----------
     waiting_prefill_tokens
         Tokens of waiting requests that must still be prefilled.
     accepted
-        Number of requests that the engine had accepted since it started.
+        Number of requests that the engine accepted since its start.
     """
 
     incarnation: str
@@ -128,7 +129,7 @@
     Attributes
     ----------
     load
-        Load report that came with the events, if any.
+        Load report sent with the events, if any.
     """
 
     incarnation: str
@@ -148,7 +149,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineOrder:
-    """Absolute desired state of an engine, with the fencing number of the lease."""
+    """Complete desired state of an engine, with the fencing number of the lease."""
 
     order_id: str
     fencing: int
@@ -169,7 +170,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineState:
-    """State of an engine as read back."""
+    """State that an engine reports of itself."""
 
     incarnation: str
     model: str
@@ -195,7 +196,7 @@
 
     @abc.abstractmethod
     def cancel(self, request_id: str) -> Result[None, str]:
-        """Stop a request."""
+        """Cancel a request."""
 
     @abc.abstractmethod
     def events(self, after: int, wait_s: float) -> Result[CacheEvents, str]:
@@ -207,16 +208,16 @@
 
     @abc.abstractmethod
     def order(self, order: EngineOrder) -> Result[OrderAnswer, str]:
-        """Give an order; a failed call leaves open whether it was taken."""
+        """Send an order; after a failed call it may or may not have been accepted."""
 
     @abc.abstractmethod
     def state(self) -> Result[EngineState, str]:
-        """Read the engine's state back."""
+        """Read the engine's current state."""
 
     @abc.abstractmethod
     def export_blocks(self, keys: Sequence[bytes], store: str) -> Result[int, str]:
-        """Have blocks copied to the KV store at ``store``; returns how many were."""
+        """Have the engine copy blocks to the KV store at ``store``; return their number."""
 
     @abc.abstractmethod
     def import_blocks(self, keys: Sequence[bytes], source: str) -> Result[int, str]:
-        """Have blocks copied in from the KV store at ``source``."""
+        """Have the engine copy blocks from a KV store at ``source``; return their number."""
--- a/agaterail/engines/http.py
+++ b/agaterail/engines/http.py
@@ -1,4 +1,4 @@
-"""Engines over their HTTP protocol (docs/internals/protocols)."""
+"""HTTP client for model engines (docs/internals/protocols)."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 HTTP_ACCEPTED = 202
 CONTROL_TIMEOUT_S = 2.0
 TRANSFER_TIMEOUT_S = 5.0
-# Homes keep the leading bytes of a key; the rest of it would be most of what
+# Homes store only the leading bytes of a key; the remaining bytes would be most of what
 # an engine sends.
 KEY_BYTES = 8
 
 
 class HttpEngineReply(EngineReply):
-    """Answer of an engine that is read from a kept connection."""
+    """Answer of an engine, read from a persistent connection."""
 
     def __init__(self, response: Response) -> None:
         self.response = response
@@ -51,20 +51,20 @@
         self.retry_after_s = float(hint) if isinstance(hint, str) else None
 
     def read_available(self) -> bytes:
-        """Return the next bytes, or nothing at the end; raises OSError."""
+        """Return the next bytes, or empty bytes at the end; raises OSError."""
         return self.response.read_available()
 
     def set_read_timeout(self, seconds: float) -> None:
-        """Bound the wait of each later read."""
+        """Set the timeout of each later read."""
         self.response.set_read_timeout(seconds)
 
     def discard(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self.response.discard()
 
 
 class HttpEngine(Engine):
-    """Engine reached by HTTP; control calls use connections of their own."""
+    """Client of one engine over HTTP; control calls use separate connections."""
 
     def __init__(self, address: Address) -> None:
         self.requests = HttpConnections(address)
@@ -79,7 +79,7 @@
         return self._send("/resume", request)
 
     def cancel(self, request_id: str) -> Result[None, str]:
-        """Stop a request."""
+        """Cancel a request."""
         return self._call("POST", "/cancel", {"request_id": request_id}).map(lambda _: None)
 
     def events(self, after: int, wait_s: float) -> Result[CacheEvents, str]:
@@ -96,7 +96,7 @@
         return fetched.bind(_parse_msgpack).bind(_parse_contents)
 
     def order(self, order: EngineOrder) -> Result[OrderAnswer, str]:
-        """Give an order; a failed call leaves open whether it was taken."""
+        """Send an order; after a failed call it may or may not have been accepted."""
         fields = {
             "order_id": order.order_id,
             "fencing": order.fencing,
@@ -118,17 +118,17 @@
         return Success(answers.get(status, OrderAnswer.FAILED))
 
     def state(self) -> Result[EngineState, str]:
-        """Read the engine's state back."""
+        """Read the engine's current state."""
         return self._call("GET", "/state").bind(_parse_state)
 
     def export_blocks(self, keys: Sequence[bytes], store: str) -> Result[int, str]:
-        """Have blocks copied to the KV store at ``store``; returns how many were."""
+        """Have the engine copy blocks to the KV store at ``store``; return their number."""
         fields = {"keys": [key.hex() for key in keys], "store": store}
         answer = self._call("POST", "/kv/export", fields, TRANSFER_TIMEOUT_S)
         return answer.map(lambda body: int(body.get("blocks", 0)))
 
     def import_blocks(self, keys: Sequence[bytes], source: str) -> Result[int, str]:
-        """Have blocks copied in from the KV store at ``source``."""
+        """Have the engine copy blocks from a KV store at ``source``; return their number."""
         fields = {"keys": [key.hex() for key in keys], "source": source}
         answer = self._call("POST", "/kv/import", fields, TRANSFER_TIMEOUT_S)
         return answer.map(lambda body: int(body.get("blocks", 0)))
--- a/agaterail/hostlists/__init__.py
+++ b/agaterail/hostlists/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of hosts, behind one interface."""
+"""Interface to the platform's list of hosts, which lags behind their actual state."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class HostState(enum.Enum):
-    """State of a host as the platform last knew it."""
+    """Last known state of a host."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Host:
-    """One line of the list; ``address`` is where the host's process is reached."""
+    """One entry of the list; ``address`` is that of the process on the host."""
 
     address: str
     role: HostRole
@@ -42,4 +42,4 @@
 
     @abc.abstractmethod
     def fetch(self) -> Result[tuple[Host, ...], str]:
-        """Return the hosts, or a sentence that says why there is no answer."""
+        """Return the hosts, or the reason why the call failed."""
--- a/agaterail/hostlists/http.py
+++ b/agaterail/hostlists/http.py
@@ -1,4 +1,4 @@
-"""Host list over its HTTP protocol (docs/internals/protocols)."""
+"""HTTP client for the host list (docs/internals/protocols)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class HttpHostList(HostList):
-    """Host list reached by HTTP."""
+    """Client of the host list over HTTP; unchanged lists are not transferred again."""
 
     def __init__(self, address: Address, timeout_s: float = 1.0) -> None:
         self.connections = HttpConnections(address)
@@ -24,9 +24,9 @@
         self.hosts: tuple[Host, ...] = ()
 
     def fetch(self) -> Result[tuple[Host, ...], str]:
-        """Return the hosts, or a sentence that says why there is no answer."""
-        # A list of 1,000 hosts has 80 KB. Fetched whole each second it would
-        # take 16 times what a daemon may spend on control.
+        """Return the hosts, or the reason why the call failed."""
+        # A list of 1,000 hosts has 80 KB. Fetching it every second in full would use 16
+        # times a daemon's budget for control traffic.
         headers = {"if-none-match": self.etag} if self.etag else {}
         sent = self.connections.send(
             "GET", "/hosts", headers=headers, timeout_s=self.timeout_s
--- a/agaterail/kvstores/__init__.py
+++ b/agaterail/kvstores/__init__.py
@@ -1,4 +1,4 @@
-"""Store of kept KV cache, behind one interface."""
+"""Interface to the KV store."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class KvStore(abc.ABC):
-    """Client of the store that engines export blocks to and import them from.
+    """Client of the store to which engines export KV blocks and from which they import them.
 
     Attributes
     ----------
     address
-        Where engines reach the store.
+        Address at which engines reach the store.
     """
 
     address: str
 
     @abc.abstractmethod
     def count_leading_keys(self, keys: Sequence[bytes], timeout_s: float) -> Result[int, str]:
-        """Return how many of the leading keys the store holds."""
+        """Return how many leading keys of ``keys`` the store holds."""
--- a/agaterail/kvstores/http.py
+++ b/agaterail/kvstores/http.py
@@ -1,4 +1,4 @@
-"""Store of kept KV cache over its HTTP protocol."""
+"""HTTP client for the KV store."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class HttpKvStore(KvStore):
-    """Store reached by HTTP."""
+    """Client of the KV store over HTTP."""
 
     def __init__(self, address: Address) -> None:
         self.address = str(address)
         self.connections = HttpConnections(address)
 
     def count_leading_keys(self, keys: Sequence[bytes], timeout_s: float) -> Result[int, str]:
-        """Return how many of the leading keys the store holds."""
+        """Return how many leading keys of ``keys`` the store holds."""
         body = json.dumps({"keys": [key.hex() for key in keys]}).encode()
         answer = self.connections.call("POST", "/blocks/has", body, timeout_s=timeout_s)
         if not isinstance(answer, Success):
--- a/agaterail/logstore/__init__.py
+++ b/agaterail/logstore/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log, behind one interface."""
+"""Interface to the platform's append-only log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LogErrorKind(enum.Enum):
-    """Why the log gave no answer, or not the one asked for."""
+    """Why a call to the log failed."""
 
     DOWN = "down"
     UNANSWERED = "unanswered"
@@ -25,9 +25,9 @@
 
 @attrs.frozen
 class LogError:
-    """A failed call of the log.
+    """A failed call to the log.
 
-    ``UNANSWERED`` means that an append may have taken effect.
+    After ``UNANSWERED``, an append may have taken effect.
     """
 
     kind: LogErrorKind
@@ -49,9 +49,9 @@
     Attributes
     ----------
     first
-        Oldest offset that is still kept.
+        Oldest offset that is still retained.
     end
-        Offset that the next append would get, as this reader sees it.
+        Offset of the next append, as this reader sees it.
     """
 
     records: Sequence[LogRecord]
--- a/agaterail/logstore/http.py
+++ b/agaterail/logstore/http.py
@@ -1,4 +1,4 @@
-"""Log service over its HTTP protocol (docs/internals/protocols)."""
+"""HTTP client for the platform's log (docs/internals/protocols)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class HttpLogStore(LogStore):
-    """Log reached by HTTP."""
+    """Client of the log over HTTP."""
 
     def __init__(self, address: Address, timeout_s: float = 2.0) -> None:
         self.connections = HttpConnections(address)
@@ -62,6 +62,7 @@
         return LogError(LogErrorKind.THROTTLED)
     if status == HTTP_CONTENT_TOO_LARGE:
         return LogError(LogErrorKind.TOO_LARGE)
-    # 503 is sent before the record is looked at; any other status says nothing.
+    # 503 is sent before the record is processed. After any other status, an append may
+    # have taken effect.
     kind = LogErrorKind.DOWN if status == 503 else LogErrorKind.UNANSWERED
     return LogError(kind, f"status {status}")
--- a/agaterail/logstore/memory.py
+++ b/agaterail/logstore/memory.py
@@ -1,4 +1,4 @@
-"""Log kept in memory, for tests."""
+"""In-memory log, for tests."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class MemoryLogStore(LogStore):
-    """Log with switchable faults.
+    """Log with fault injection.
 
     Attributes
     ----------
     down
-        Refuse every call.
+        Whether every call fails.
     lose_answers
-        Number of coming appends that take effect but are not answered.
+        Number of following appends that take effect but are not answered.
     stale_records
-        Newest records that readers do not see yet.
+        Number of newest records that readers do not see yet.
     max_record_bytes
-        Larger appends are refused.
+        Maximum size of a record; larger appends are refused.
     """
 
     def __init__(self) -> None:
@@ -59,6 +59,6 @@
         return Success(LogSlice(records, first, end))
 
     def expire(self, stream: str, before: int) -> None:
-        """Drop the records below an offset."""
+        """Drop the records before an offset."""
         stored = self.streams.get(stream, [])
         self.streams[stream] = [record for record in stored if record.offset >= before]
--- a/agaterail/peers/__init__.py
+++ b/agaterail/peers/__init__.py
@@ -1,9 +1,8 @@
-"""Messages between the daemons.
+"""Messages between daemons.
 
-Two transports carry them. Calls go over gRPC and are for what must arrive;
-queries and notices are single datagrams and are for hints, whose loss costs
-milliseconds or a prefix hit at most. docs/internals/decisions has the
-measurement behind the split.
+There are two transports. Calls use gRPC and carry messages that must arrive. Queries and
+notices are single datagrams and carry hints, whose loss costs at most some milliseconds
+or a prefix cache hit. docs/internals/decisions has the measurement behind the split.
 """
 
 from __future__ import annotations
@@ -29,37 +28,37 @@
 
 M = TypeVar("M")
 
-# Fields go by their place, not by name: the names are most of a small message.
-# Daemons of two releases whose fields differ do not understand each other's
-# message, which costs a hint or makes a call fail; both have their fallback.
+# Fields are encoded by position, not by name: names would be most of a small message.
+# Daemons of different releases whose fields differ cannot decode each other's message.
+# This loses a hint or fails a call, and both cases have a fallback.
 converter = make_converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
 MESSAGE_TYPES: dict[str, type] = {}
 TOO_MANY_CALLS = "too many calls in flight"
 
 
 def peer_message(kind: type[M]) -> type[M]:
-    """Register an attrs class as a message under its own name."""
+    """Register an attrs class as a message under its class name; a class decorator."""
     MESSAGE_TYPES[kind.__name__] = kind
     return kind
 
 
 @functools.cache
 def resolve_annotations(kind: type[M]) -> type[M]:
-    """Return a class with its annotations made types in place of texts.
+    """Resolve the string annotations of a class to types, and return the class.
 
-    cattrs does that by itself for classes read by name, but not by place.
+    cattrs does this itself only for classes that are encoded by name, not by position.
     """
     _resolve_field_types(kind)
     return kind
 
 
 def encode_fields(message: Any) -> Any:
-    """Return the fields of a message by place."""
+    """Return the fields of a message as a tuple, by position."""
     return converter.unstructure(message, resolve_annotations(type(message)))  # type: ignore[arg-type]
 
 
 def decode_message(kind: Any, fields: Any) -> Any:
-    """Return the message of fields; raises what cattrs raises."""
+    """Build a message from its fields; raises the exceptions of cattrs."""
     return converter.structure(fields, resolve_annotations(kind))
 
 
@@ -73,13 +72,13 @@
 
 
 class Transport(abc.ABC):
-    """Carries sealed messages and their answers."""
+    """Carries signed messages and their answers."""
 
     receive: Callable[[str, bytes], bytes | None]
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Begin to receive."""
+        """Start receiving."""
 
     @abc.abstractmethod
     def stop(self) -> None:
@@ -87,11 +86,11 @@
 
     @abc.abstractmethod
     def request(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
-        """Send and wait for the answer."""
+        """Send a message and wait for the answer."""
 
     @abc.abstractmethod
     def send(self, address: str, data: bytes) -> None:
-        """Send without an answer."""
+        """Send a message that gets no answer."""
 
 
 class Peers:
@@ -100,7 +99,7 @@
     Parameters
     ----------
     own_address
-        Address under which the others reach this daemon.
+        Address at which other daemons reach this one.
     calls, datagrams
         Transports for calls and for hints.
     secret
@@ -123,11 +122,11 @@
         datagrams.receive = self.receive
 
     def handle(self, kind: type[M], handler: Callable[[str, M], object]) -> None:
-        """Answer messages of a type; the handler gets the sender's address."""
+        """Register the handler of a message type; it gets the sender's address too."""
         self.handlers[kind] = handler
 
     def start(self) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self.calls.start()
         self.datagrams.start()
 
@@ -137,25 +136,25 @@
         self.datagrams.stop()
 
     def call(self, address: str, message: object, timeout_s: float = 1.0) -> Result[Any, str]:
-        """Send a message that must arrive and return the answer."""
+        """Send a message that must arrive, and return the answer."""
         return self._request(self.calls, address, message, timeout_s)
 
     def query(self, address: str, message: object, timeout_s: float) -> Result[Any, str]:
-        """Ask for a hint by datagram; an answer may never come."""
+        """Request a hint by datagram; the query or its answer may be lost."""
         return self._request(self.datagrams, address, message, timeout_s)
 
     def notify(self, address: str, message: object) -> None:
-        """Send a hint by datagram and forget it."""
+        """Send a hint by datagram, without an answer."""
         if address == self.own_address:
             self._dispatch(address, message)
             return
         self.datagrams.send(address, self._encode(message))
 
     def receive(self, _source: str, data: bytes) -> bytes | None:
-        """Handle a sealed message and return the sealed answer."""
+        """Handle a signed message and return the signed answer."""
         decoded = self._decode(data)
         if not isinstance(decoded, Success):
-            logger.warning("Drops a message.", reason=decoded.failure())
+            logger.warning("Dropped a message.", reason=decoded.failure())
             return None
         sender, message = decoded.unwrap()
         self.on_message_received(sender)
@@ -189,7 +188,7 @@
     def _decode(self, data: bytes) -> Result[tuple[str, Any], str]:
         body = envelope.verify(self.key, data)
         if body is None:
-            return Failure("wrong secret or damaged")
+            return Failure("wrong secret or corrupted message")
         try:
             sender, name, fields = msgpack.unpackb(body)
             return Success((sender, decode_message(MESSAGE_TYPES[name], fields)))
--- a/agaterail/peers/datagram.py
+++ b/agaterail/peers/datagram.py
@@ -26,7 +26,7 @@
 
 
 class DatagramTransport(Transport):
-    """One socket for questions, answers and notices."""
+    """One UDP socket for queries, replies and notices."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -35,7 +35,7 @@
         self.pending: dict[bytes, AsyncResult] = {}
 
     def start(self) -> None:
-        """Bind the socket and receive."""
+        """Bind the socket and start receiving."""
         self.server.start()
 
     def stop(self) -> None:
@@ -43,7 +43,7 @@
         self.server.stop()
 
     def request(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
-        """Send a question and wait for its answer."""
+        """Send a query and wait for its reply."""
         sequence = (next(self.sequence_numbers) % SEQUENCE_COUNT).to_bytes(
             SEQUENCE_BYTES, "big"
         )
@@ -60,7 +60,7 @@
             self.pending.pop(sequence, None)
 
     def send(self, address: str, data: bytes) -> None:
-        """Send a notice; a full buffer or a closed port loses it."""
+        """Send a notice; it is lost if the buffer is full or the port is closed."""
         try:
             self._send(NOTICE + bytes(SEQUENCE_BYTES) + data, address)
         except (OSError, ValueError):
--- a/agaterail/peers/envelope.py
+++ b/agaterail/peers/envelope.py
@@ -1,4 +1,4 @@
-"""Authentication of messages by a keyed hash of the shared secret."""
+"""Message authentication by a keyed hash, with a key derived from the shared secret."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def sign(key: bytes, body: bytes) -> bytes:
-    """Put the authentication code in front of a body."""
+    """Prepend the message authentication code to a body."""
     return blake2b(body, key=key, digest_size=MAC_BYTES).digest() + body
 
 
 def verify(key: bytes, data: bytes) -> bytes | None:
-    """Return the body, or None when the code is not its own."""
+    """Return the body, or None if its authentication code does not match."""
     body = data[MAC_BYTES:]
     mac = blake2b(body, key=key, digest_size=MAC_BYTES).digest()
     return body if hmac.compare_digest(mac, data[:MAC_BYTES]) else None
--- a/agaterail/peers/grpc.py
+++ b/agaterail/peers/grpc.py
@@ -8,7 +8,7 @@
 from concurrent import futures
 from typing import TYPE_CHECKING
 
-# The library's core would write its own lines to stderr; failures are returned.
+# The gRPC core writes log lines to stderr by default; failures are returned instead.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 import attrs
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class TlsFiles:
-    """Contents of the files with which daemons prove themselves to each other."""
+    """Contents of the TLS files with which daemons authenticate each other."""
 
     certificate: bytes
     key: bytes
@@ -45,7 +45,7 @@
 
     @classmethod
     def read(cls, settings: Settings) -> TlsFiles | None:
-        """Read the files that the settings name, or return None if they name none."""
+        """Read the files named in the settings; return None unless all are set."""
         paths = (
             settings.peer_tls_certificate,
             settings.peer_tls_key,
@@ -57,17 +57,17 @@
 
 
 class GrpcTransport(Transport):
-    """One server and a channel per peer.
+    """One server, and one channel per peer.
 
-    With client and server in one process under gevent, calls run into their
-    deadlines once about twenty are in flight, although the peer answers; four
-    at a time ran without a loss, so more wait their turn here.
+    With client and server in one process under gevent, calls time out once about twenty
+    are in flight, although the peer answers. Four at a time ran without a loss, so
+    further calls wait until one of them ends.
 
     Parameters
     ----------
     settings
-        Names the TLS files; without them calls are authenticated by the
-        shared secret but not encrypted.
+        Settings that name the TLS files. Without these files, calls are authenticated
+        by the shared secret but not encrypted.
     """
 
     def __init__(self, address: Address, settings: Settings | None = None) -> None:
@@ -79,7 +79,7 @@
         self.server: grpc.Server | None = None
 
     def start(self) -> None:
-        """Bind the port and serve.
+        """Bind the port and start serving.
 
         Raises
         ------
@@ -100,7 +100,7 @@
         self.server = server
 
     def stop(self) -> None:
-        """Stop serving at once."""
+        """Stop serving immediately and close the channels."""
         if self.server is not None:
             self.server.stop(0)
         for channel in self.channels.values():
@@ -119,7 +119,7 @@
         return Success(answer) if answer else Failure("refused")
 
     def send(self, address: str, data: bytes) -> None:
-        """Call a peer and ignore the answer."""
+        """Call a peer and discard the answer."""
         self.request(address, data, 1.0)
 
     def _channel(self, address: str) -> grpc.Channel:
--- a/agaterail/peers/memory.py
+++ b/agaterail/peers/memory.py
@@ -1,4 +1,4 @@
-"""Transport within one process, for tests."""
+"""In-process transport, for tests."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class MemoryNetwork:
-    """Addresses of one test, with links that can be cut.
+    """Network of one test, with links that can be blocked.
 
     Attributes
     ----------
     blocked_links
-        Pairs of sender and receiver between which nothing arrives.
+        Pairs of sender and receiver whose messages are lost.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self.address = address
 
     def start(self) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self.network.transports[self.address] = self
 
     def stop(self) -> None:
@@ -38,7 +38,7 @@
         self.network.transports.pop(self.address, None)
 
     def request(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
-        """Send and return the answer at once."""
+        """Deliver a message and return its answer synchronously."""
         receiver = self._receiver(address)
         if receiver is None:
             return Failure("no answer")
@@ -48,7 +48,7 @@
         return Success(answer)
 
     def send(self, address: str, data: bytes) -> None:
-        """Send without an answer."""
+        """Deliver a message that gets no answer."""
         receiver = self._receiver(address)
         if receiver is not None:
             receiver.receive(self.address, data)
--- a/agaterail/platform/__init__.py
+++ b/agaterail/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Adapter of the hosts' platform: names, formats and calls, no decisions.
+"""Adapter for the hosts' platform: wire names, message formats and calls.
 
-Every name that the platform uses on the wire appears in this package only. Its
-messages are decoded once, into the types of :mod:`agaterail.gateway`.
+Names that the platform uses on the wire appear only in this package. Messages are
+decoded once, into the types of :mod:`agaterail.gateway`, which makes all decisions.
 """
--- a/agaterail/platform/cacheevents.py
+++ b/agaterail/platform/cacheevents.py
@@ -1,4 +1,4 @@
-"""Events of the stores that keep KV cache."""
+"""Client for the cache events of KV stores."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from agaterail.util.httpconn import ConnectionsByAddress
 
 CONNECT_TIMEOUT_S = 0.3
-# Beyond the wait that was asked for.
+# Time beyond the requested wait before a long poll times out.
 LONG_POLL_MARGIN_S = 0.6
 HTTP_OK = 200
 S_PER_MS = 1e-3
-# Number, sign, scope, part, tokens held now, model.
+# An event is [number, sign, scope, part, tokens still held, model].
 EVENT_FIELDS = 6
 
 
 class PlatformCacheFeed(CacheFeed):
-    """The events over HTTP, on a kept connection to each store."""
+    """Reads cache events over HTTP, on persistent connections to each store."""
 
     def __init__(self) -> None:
         self.stores = ConnectionsByAddress(CONNECT_TIMEOUT_S)
 
     def follow(self, address: str, since: int, wait_s: float) -> Result[CacheChangeBatch, str]:
-        """Return the changes from a number on, waiting for the first one."""
+        """Return the changes from an event number on; wait for the first one."""
         called = self.stores.to(address).call(
             "GET",
             f"{names.CACHE_EVENTS_PATH}?since={since}",
@@ -48,12 +48,12 @@
 
 
 def decode_cache_changes(body: bytes) -> CacheChangeBatch:
-    """Return the changes in an answer.
+    """Decode the body of an answer.
 
     Raises
     ------
     ValueError
-        If it is none.
+        If the body is malformed.
     """
     answer = fields.json_object(json.loads(body), "the answer")
     events = fields.array(answer, "events")
@@ -66,9 +66,9 @@
 
 def _decode_change(event: Any) -> CacheChange:
     if not isinstance(event, list) or len(event) < EVENT_FIELDS:
-        raise MalformedError("an event is no list of six")
+        raise MalformedError("an event is not a list of six fields")
     sign, scope, part = event[1:4]
     if not isinstance(scope, str) or not isinstance(part, str):
-        raise MalformedError("an event names no part")
-    # A part that was dropped in part only is of no use to those that need it whole.
+        raise MalformedError("an event has no scope or part name")
+    # A partially evicted part counts as not held, because a prompt needs all of it.
     return CacheChange(scope, normalize_part_name(part), held=sign == "+")
--- a/agaterail/platform/desired.py
+++ b/agaterail/platform/desired.py
@@ -1,4 +1,4 @@
-"""Decode the operators' desired state and the named weights versions."""
+"""Decode the desired state and the weights versions that operators publish."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 REQUEST_KINDS = {
     "safe": RequestKind.SAFE,
     "unsafe": RequestKind.UNSAFE,
-    # A kind that is not known here may not be repeated.
+    # Keyed requests have no kind of their own here; as unsafe ones they are not retried.
     "keyed": RequestKind.UNSAFE,
     "streaming": RequestKind.STREAM,
 }
@@ -45,25 +45,26 @@
 
 @attrs.frozen
 class DesiredWeights:
-    """Weights version that the operators want of a model."""
+    """Weights version that the operators set for a model."""
 
     model: str
     version: int
 
 
 class DesiredDecoder:
-    """Decodes desired states, one version after the other.
+    """Decodes successive versions of the desired state.
 
-    Rows that are as they were in the version before are not decoded again: versions that
-    differ in one row of thousands come several a second, and a host with a tenth of a
-    core would take half a second for each, in which it answers no caller.
+    Rows that are unchanged since the previous version are not decoded again. Versions
+    that differ in one of thousands of rows can arrive several times a second. On a host
+    with a tenth of a core, decoding all rows takes half a second, during which no caller
+    is answered.
     """
 
     def __init__(self) -> None:
         self.rows: dict[str, dict[bytes, Any]] = {}
 
     def decode(self, document: Document) -> Result[DesiredState, str]:
-        """Return the desired state of a document; rows that are malformed are left out."""
+        """Decode a document; malformed rows are skipped."""
         try:
             members = _decode_members(document)
             services = self._decode_rows(document, "services", _decode_service)
@@ -90,7 +91,7 @@
         self, document: Document, name: str, decode: Callable[[dict[str, Any]], Any]
     ) -> list[Any]:
         if document.members.get(name, JSON_NULL) != JSON_NULL:
-            raise MalformedError(f"{name} is no list")
+            raise MalformedError(f"{name} is not a list")
         previous = self.rows.get(name, {})
         rows: dict[bytes, Any] = {}
         for number, row in enumerate(document.tables.get(name, ())):
@@ -99,7 +100,7 @@
                 continue
             rows[row] = _decode_row(name, row, decode)
             if number % ROWS_PER_YIELD == 0:
-                # Thousands of new rows take long; requests go on in between.
+                # Decoding thousands of new rows takes long; let requests run in between.
                 gevent.sleep(0.0)
         self.rows[name] = rows
         decoded = (rows[row] for row in document.tables.get(name, ()))
@@ -107,7 +108,7 @@
 
 
 def decode_weights(document: Document) -> Result[DesiredWeights, str]:
-    """Return the weights that a record names."""
+    """Decode the weights version in a record's document."""
     try:
         members = _decode_members(document)
         return Success(
@@ -122,17 +123,17 @@
 
 
 def _decode_row(name: str, row: bytes, decode: Callable[[dict[str, Any]], Any]) -> Any:
-    """Return what a row says; None if it is malformed."""
+    """Decode one row; return None if it is malformed."""
     try:
         return decode(fields.json_object(json.loads(row), "the row"))
     except ValueError as error:  # MalformedError and JSON errors
-        logger.warning("Left out a row.", table=name, reason=str(error))
+        logger.warning("Skipped a malformed row.", table=name, reason=str(error))
         return None
 
 
 def _decode_route(row: dict[str, Any]) -> Route:
-    # The wire's name for a split is a list of services; a route without a
-    # split names its only service directly.
+    # "traffic_split" lists services with weights; a route without a split names its
+    # only service in "service".
     shares = tuple(
         ServiceShare(fields.string(part, "service"), fields.number(part, "weight"))
         for part in (
--- a/agaterail/platform/engines.py
+++ b/agaterail/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls to model engines beside requests."""
+"""Control calls to model engines: state reports and weights orders."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from agaterail.util.address import Address
 from agaterail.util.httpconn import HttpConnections
 
-# Engines are milliseconds away; one that is silent for so long is cut off.
+# Engines are milliseconds away; one that is silent for this long is unreachable.
 CONNECT_TIMEOUT_S = 0.3
 ANSWER_TIMEOUT_S = 0.6
 HTTP_OK = 200
@@ -34,10 +34,10 @@
 
 
 class PlatformEngines(EngineControl):
-    """The calls over HTTP, each on a new connection.
+    """Makes control calls over HTTP, each on a new connection.
 
-    They are rare, and on a kept connection an order could be lost in the moment
-    in which the engine closes it.
+    The calls are rare, and on a persistent connection an order could be lost if the
+    engine closes the connection at the same moment.
     """
 
     def report(self, target: Target) -> Result[EngineReport, str]:
@@ -54,7 +54,7 @@
             return Failure(str(error))
 
     def order(self, target: Target, order: WeightsOrder) -> OrderOutcome:
-        """Give an order to load weights."""
+        """Order an engine to load weights."""
         body = {
             "op": "version",
             "model": order.model,
@@ -62,7 +62,7 @@
             "mode": ORDER_MODES[order.in_flight_policy],
             "holder": order.host,
             "fence": order.fencing,
-            # The wire's "expect" is a count of orders, not an instance.
+            # On the wire, "expect" is a number of orders, not an instance.
             "expect": order.after_orders,
         }
         answer = self._call(target, "POST", names.ORDER_PATH, json.dumps(body).encode())
@@ -90,7 +90,7 @@
     models = (fields.json_object(item, "a model") for item in fields.array(decoded, "models"))
     return EngineReport(
         loading=fields.boolean(decoded, "busy"),
-        # On the wire this is called a sequence number; it counts orders.
+        # The wire calls this a sequence number; it is the number of accepted orders.
         orders_accepted=fields.integer(decoded, "seq_no"),
         waiting=fields.integer(decoded, "waiting", 0),
         running=fields.integer(decoded, "running", 0),
--- a/agaterail/platform/feedrecords.py
+++ b/agaterail/platform/feedrecords.py
@@ -1,4 +1,4 @@
-"""Records of the store's logs, and what they say."""
+"""Encoding and decoding of the records of the store's logs."""
 
 from __future__ import annotations
 
@@ -40,14 +40,17 @@
 
 
 class RecordDecoder:
-    """Decodes records; those of operators against the versions before."""
+    """Decodes records; operators' documents are parsed against their previous version."""
 
     def __init__(self) -> None:
         self.latest_documents: dict[str, Document] = {}
         self.desired_decoder = DesiredDecoder()
 
     def to_records(self, feed: Feed, records: list[FeedRecord]) -> Sequence[Record]:
-        """Return operators' records as documents, the newest of each key only."""
+        """Parse operators' records into documents, only the newest valid one of each key.
+
+        Records of other feeds are returned unchanged.
+        """
         if feed is not Feed.OPERATORS:
             return records
         newest: dict[str, DocumentRecord] = {}
@@ -70,7 +73,7 @@
         return DocumentRecord(record.offset, record.key, document)
 
     def decode_change(self, feed: Feed, record: Record) -> Change | None:
-        """Return what a record says; None if it cannot be read."""
+        """Decode a record; return None if it is malformed or its key is unknown."""
         if isinstance(record, DocumentRecord):
             return self._decode_operator_change(record)
         return (
@@ -103,7 +106,7 @@
 
 
 def split_records(data: bytes, offset: int) -> list[tuple[int, bytes]] | None:
-    """Return offsets and contents of records; None if one is cut."""
+    """Return offsets and contents of records, or None if a record is truncated."""
     records: list[tuple[int, bytes]] = []
     position = 0
     while position < len(data):
@@ -119,7 +122,7 @@
 
 
 def decode_log(feed: Feed, raw: list[tuple[int, bytes]]) -> list[FeedRecord]:
-    """Return the records of a part of a log."""
+    """Decode the raw records of a feed's log; malformed records are skipped."""
     if feed is Feed.LEASE:
         return [FeedRecord(offset, "", content) for offset, content in raw]
     return _decode_keyed_records(raw)
@@ -129,7 +132,7 @@
     records = []
     for offset, content in raw:
         if not content or len(content) < 1 + content[0]:
-            logger.warning("Left out a record.", offset=offset, reason="no key")
+            logger.warning("Skipped a malformed record.", offset=offset, reason="no key")
             continue
         key = content[1 : 1 + content[0]].decode("utf-8", "replace")
         records.append(FeedRecord(offset, key, content[1 + content[0] :]))
@@ -137,12 +140,12 @@
 
 
 def decode_listing(page: dict[str, Any]) -> list[FeedRecord]:
-    """Return the records of a page of the newest ones.
+    """Decode one page of a listing of the newest records.
 
     Raises
     ------
     MalformedError
-        If the page is none.
+        If the page is malformed.
     """
     records = []
     for item in fields.array(page, "items"):
@@ -158,7 +161,7 @@
 
 
 def encode_naming(naming: VersionAgeRecord) -> dict[str, Any]:
-    """Return ages of weights versions as they lie in a record of the lease."""
+    """Encode the ages of weights versions for a lease record."""
     ages = {
         model: [[item.version, round(item.age_s, 3)] for item in items]
         for model, items in naming.ages.items()
@@ -171,12 +174,12 @@
 
 
 def _decode_naming(value: object) -> VersionAgeRecord | None:
-    """Return the ages in a record; None without any.
+    """Decode the ages in a lease record; return None if it has none.
 
     Raises
     ------
     ValueError
-        If they are none.
+        If the ages are malformed.
     """
     if value is None:
         return None
@@ -184,7 +187,7 @@
     ages: dict[str, tuple[VersionAge, ...]] = {}
     for model, rows in fields.json_object(naming.get("ages"), "the ages").items():
         if not isinstance(rows, list):
-            raise fields.MalformedError("the ages of a model are no list")
+            raise fields.MalformedError("the ages of a model are not a list")
         ages[model] = tuple(_decode_age(row) for row in rows)
     return VersionAgeRecord(
         fields.number(naming, "written_at"), fields.number(naming, "reading_age_s"), ages
@@ -195,7 +198,7 @@
     match row:
         case [int(version), int() | float() as age_s] if age_s >= 0.0 and version >= 0:
             return VersionAge(version, float(age_s))
-    raise fields.MalformedError("an age is no version and seconds")
+    raise fields.MalformedError("an age is not a pair of version and seconds")
 
 
 def _decode_target_change(record: FeedRecord) -> Change | None:
@@ -209,7 +212,9 @@
 
 
 def _log_skipped(record: Record, reason: str) -> None:
-    logger.warning("Left out a record.", key=record.key, offset=record.offset, reason=reason)
+    logger.warning(
+        "Skipped a malformed record.", key=record.key, offset=record.offset, reason=reason
+    )
 
 
 def _decode_lease_change(record: FeedRecord) -> Change | None:
--- a/agaterail/platform/names.py
+++ b/agaterail/platform/names.py
@@ -4,13 +4,13 @@
 
 # Headers, lower case as the parsers deliver them.
 REQUEST_ID = b"request-id"
-DEADLINE = b"deadline-ms"  # milliseconds that the caller waits, not a point in time
+DEADLINE = b"deadline-ms"  # a timeout in milliseconds, not a point in time
 AUTHORIZATION = b"authorization"
 BEARER = "Bearer "
 LAST_EVENT_ID = b"last-event-id"
 MODEL = b"model"
-TOKEN_USAGE = b"token-usage"  # an announcement of the caller, not what was used
-PROMPT_PREFIX = b"prompt-prefix"  # the whole prompt in parts, not only a prefix
+TOKEN_USAGE = b"token-usage"  # announced by the caller, not measured
+PROMPT_PREFIX = b"prompt-prefix"  # all parts of the prompt, not only a prefix
 WORKSPACE = b"tenant"
 EXPECT_INSTANCE = b"expect-instance"
 EXPECT_VERSION = b"expect-version"
@@ -25,7 +25,7 @@
 NOT_RUN = b"not-run"
 SIGNATURE = b"server-stamp"
 INSTANCE = b"instance-id"
-WEIGHTS_VERSION = b"weight-versions"  # one integer in spite of the plural
+WEIGHTS_VERSION = b"weight-versions"  # a single integer despite the plural
 RETRY_AFTER = b"retry-after"
 KEEP_ALIVE = b"keep-alive"
 CONNECTION = b"connection"
@@ -47,8 +47,8 @@
         b"expect",
     }
 )
-# What the router alone may set. A caller's value is dropped: with it a caller
-# could read another workspace's cache or keep memory of engines for itself.
+# Headers that only the router may set. Values from callers are dropped: with them a
+# caller could read another workspace's cache or reserve engine memory for itself.
 ROUTER_ONLY = frozenset(
     {
         DEADLINE,
@@ -67,7 +67,8 @@
         MOVED_FROM,
     }
 )
-# Headers that decide something here; two of them would leave open which counts.
+# Headers that the router interprets. Duplicates are refused, because it would be
+# ambiguous which value applies.
 SINGLE_VALUED = frozenset(
     {
         b"host",
--- a/agaterail/platform/registrations.py
+++ b/agaterail/platform/registrations.py
@@ -1,4 +1,4 @@
-"""Decode what targets write of themselves into the platform's store."""
+"""Decode the registrations that targets write to the platform's store."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 def decode_registration(instance: str, value: bytes) -> Result[Registration, str]:
-    """Return the registration in a record's value.
+    """Decode the registration in a record's value.
 
-    Entries also come from other writers; one with a field missing, of another
-    type or with an unknown state names no target to use.
+    Entries can also come from other writers. An entry with a missing field, a wrong type
+    or an unknown state is rejected and yields no target.
     """
     try:
         decoded = fields.json_object(json.loads(value), "the entry")
@@ -29,7 +29,7 @@
         address = fields.string(decoded, "address")
         host, separator, port = address.rpartition(":")
         if not separator or not host or not port.isdigit():
-            raise MalformedError("address is no IP:port")
+            raise MalformedError("address is not of the form IP:port")
         return Success(
             Registration(
                 instance=instance,
--- a/agaterail/platform/requests.py
+++ b/agaterail/platform/requests.py
@@ -1,4 +1,4 @@
-"""Decode callers' requests and targets' answers; encode what is sent to targets."""
+"""Decode callers' requests and targets' answers; encode requests to targets."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 def decode_request(inbound: InboundRequest) -> Result[InboundRequest, str]:
-    """Fill in what the headers of a caller's request say.
+    """Decode the headers of a caller's request into its fields.
 
-    A header that decides something and comes twice, or cannot be read, makes
-    the request malformed: router and target might read it differently.
+    A single-valued header that is duplicated or invalid makes the request malformed:
+    router and target might interpret it differently.
     """
     by_name: dict[bytes, bytes] = {}
     for name, value in inbound.headers:
@@ -50,7 +50,7 @@
 
 
 def encode_attempt(inbound: InboundRequest, head: AttemptHead) -> bytes:
-    """Return the bytes of the request for a target, up to its body."""
+    """Encode the request line and headers of a request to a target."""
     lines = [inbound.method + b" " + inbound.target + b" HTTP/1.1"]
     connection_options = _connection_options(inbound.headers)
     for name, value in inbound.headers:
@@ -79,7 +79,7 @@
 
 
 def decode_answer_head(status: int, headers: Sequence[tuple[bytes, bytes]]) -> AnswerHead:
-    """Return what a target's status and headers say."""
+    """Decode the status and headers of a target's answer."""
     by_name = {name.lower(): value for name, value in headers}
     passed_on = tuple(
         (name, value)
@@ -102,7 +102,7 @@
 
 
 def encode_failure_headers(request_id: str, retry_after_s: float | None) -> list[bytes]:
-    """Return the header lines of an answer of our own."""
+    """Return the header lines of an error answer that the gateway generates itself."""
     lines = []
     if request_id:
         lines.append(b"Request-Id: " + request_id.encode("latin-1"))
@@ -149,4 +149,4 @@
     try:
         return None if value is None else float(value)
     except ValueError:
-        return None  # a date or nonsense: no hint, which the caller of this treats as absent
+        return None  # a date or an invalid value counts as absent
--- a/agaterail/platform/settings.py
+++ b/agaterail/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives to each process."""
+"""The settings file that the platform provides to each process."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def read_settings(path: str) -> Result[HostSettings, SettingsFileProblem]:
-    """Read the settings file, which the deploy file's template writes as JSON."""
+    """Read the settings file, JSON that is rendered from the deploy file's template."""
     try:
         with open(path, encoding="utf-8") as file:
             decoded = json.load(file)
@@ -46,12 +46,12 @@
 
 
 def decode_settings(decoded: Mapping[str, Any]) -> HostSettings:
-    """Return the settings of a decoded file; unknown fields are left out.
+    """Build the settings from a decoded file; unknown fields are ignored.
 
     Raises
     ------
     MalformedError
-        If a needed field is missing or of another type.
+        If a required field is missing or a field has the wrong type.
     """
     root = dict(decoded)
     listen = fields.json_object(root.get("listen"), "listen")
@@ -75,7 +75,7 @@
 def _port_range(root: dict[str, Any]) -> tuple[int, int]:
     decoded = fields.array(root, "port_range")
     if len(decoded) != 2 or not all(isinstance(port, int) for port in decoded):
-        raise MalformedError("port_range is no pair of ports")
+        raise MalformedError("port_range is not a pair of ports")
     return decoded[0], decoded[1]
 
 
--- a/agaterail/platform/store.py
+++ b/agaterail/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store, the only one."""
+"""Client of the platform's store; all calls to the store are made here."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 logger = logs.get_logger("store")
 
-PARTITION = 0  # keyed records of operators and targets have one partition only
+PARTITION = 0  # the topics of operators and targets have a single partition
 LEASE_TOPIC = "agaterail-lease"
 TOPIC_BY_FEED = {
     Feed.OPERATORS: names.OPERATOR_TOPIC,
@@ -41,13 +41,12 @@
     Feed.LEASE: LEASE_TOPIC,
 }
 FLEET_GROUP = "agaterail"
-# Partitions over all topics bound how finely the fleet's shares are dealt: 8 x
-# 16 gives each of 100 daemons one at least.
+# The number of partitions over all topics is the granularity of the fleet's shares:
+# 8 topics x 16 partitions give each of 100 daemons at least one.
 FLEET_TOPICS = tuple(f"agaterail-fleet-{number}" for number in range(8))
 
-# The store answers in some 4 ms and in 250 ms when slow. A channel can also go
-# silent for good; a call that has had no answer for so long is given up, and
-# the next one goes over a new channel.
+# The store answers in about 4 ms, and in 250 ms when it is slow. A connection can also
+# go silent permanently: the call then times out, and the next one opens a new connection.
 ANSWER_TIMEOUT_S = 0.8
 CONNECT_TIMEOUT_S = 0.6
 
@@ -59,7 +58,7 @@
 
 
 class PlatformStore(ControlStore):
-    """The store over its HTTP calls."""
+    """Client of the store's HTTP interface."""
 
     def __init__(self, address: Address, partitions_per_topic: int) -> None:
         self.connections = HttpConnections(address, CONNECT_TIMEOUT_S)
@@ -71,8 +70,8 @@
     def listing(self, feed: Feed) -> Result[FeedSlice, StoreError]:
         """Read the newest record of each key, page by page.
 
-        Pages are no snapshot, so reading goes on from the end that the first
-        page named: whatever changed meanwhile comes once more.
+        The pages are not a consistent snapshot, so the slice ends at the end offset of
+        the first page: changes made during the listing are read again by ``follow``.
         """
         if feed is Feed.LEASE:
             return self._read_whole_log(feed)
@@ -98,7 +97,7 @@
             after = records[-1].key
 
     def follow(self, feed: Feed, offset: int, wait_s: float) -> Result[FeedSlice, StoreError]:
-        """Read the records from an offset on."""
+        """Read the records from an offset on, waiting up to ``wait_s`` for the first."""
         read = self._read(feed, offset, wait_s)
         if not isinstance(read, Success):
             return Failure(read.failure())
@@ -107,12 +106,12 @@
         return Success(FeedSlice(records, next_offset, end))
 
     def decode(self, feed: Feed, records: Sequence[Record]) -> list[Change]:
-        """Return what records say; those that cannot be read are left out."""
+        """Decode records; malformed records are skipped."""
         changes = (self.decoder.decode_change(feed, record) for record in records)
         return [change for change in changes if change is not None]
 
     def append_lease(self, entry: LeaseEntry, at: int) -> Result[int, StoreError]:
-        """Append a record iff the log ends at an offset."""
+        """Append a lease record only if the log ends at the given offset."""
         payload: dict[str, Any] = {"host": entry.host, "boot": entry.boot}
         if entry.released_idle_s is not None:
             payload["released_idle_s"] = entry.released_idle_s
@@ -138,7 +137,7 @@
     def join(
         self, member: str, ttl_s: float, generation: int
     ) -> Result[Membership, StoreError]:
-        """Join the group whose partitions stand for the fleet's shares."""
+        """Join the group whose partitions represent shares of the fleet."""
         body = {
             "group": FLEET_GROUP,
             "member": member,
@@ -164,12 +163,15 @@
             return Failure(StoreError(StoreErrorKind.MALFORMED, str(error)))
 
     def members(self) -> Result[dict[int, str], StoreError]:
-        """Return who holds the fleet's partitions, the first of each topic first."""
+        """Return the holders of the fleet's partitions by rank.
+
+        The first partition of each topic ranks first.
+        """
         answer = self._call_json("GET", names.LOG_OWNERS_PATH, {"group": FLEET_GROUP})
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         try:
-            # The page names no field for the rows; they are the only list.
+            # The name of the field is not documented; it is the only list in the answer.
             lists = [item for item in answer.unwrap().values() if isinstance(item, list)]
             rows = lists[0] if lists else []
             return Success(
@@ -189,7 +191,7 @@
         return answer.map(lambda _: None)
 
     def _read_whole_log(self, feed: Feed) -> Result[FeedSlice, StoreError]:
-        """Read a log without keys from its first record that is left."""
+        """Read a log without keys from its oldest retained record."""
         offset = 0
         records: list[FeedRecord] = []
         while True:
@@ -205,7 +207,12 @@
             if error.kind is not StoreErrorKind.EXPIRED or not error.reason.isdigit():
                 return Failure(error)
             if int(error.reason) <= offset:
-                return Failure(StoreError(StoreErrorKind.MALFORMED, "no first offset"))
+                return Failure(
+                    StoreError(
+                        StoreErrorKind.MALFORMED,
+                        "the first offset did not advance",
+                    )
+                )
             offset = int(error.reason)
 
     def _read(
@@ -222,10 +229,10 @@
             return Failure(answer.failure())
         body = answer.unwrap()
         if len(body) < LOG_BOUNDS.size:
-            return Failure(StoreError(StoreErrorKind.MALFORMED, "a short answer"))
+            return Failure(StoreError(StoreErrorKind.MALFORMED, "truncated answer"))
         raw = feedrecords.split_records(body[LOG_BOUNDS.size :], offset)
         if raw is None:
-            return Failure(StoreError(StoreErrorKind.MALFORMED, "a cut record"))
+            return Failure(StoreError(StoreErrorKind.MALFORMED, "truncated record"))
         end, _first = LOG_BOUNDS.unpack_from(body)
         return Success((offset + len(raw), raw, end))
 
@@ -272,7 +279,7 @@
                 if status == HTTP_OK
                 else Failure(_status_error(status, content))
             )
-        # The other kept channels may be as dead as this one.
+        # Other pooled connections may be dead as well.
         self.use_new_connection = True
         error = answer.failure()
         kind = (
--- a/agaterail/services/__init__.py
+++ b/agaterail/services/__init__.py
@@ -1,4 +1,4 @@
-"""Plain services beside the engines, behind one interface."""
+"""Interface to services other than model engines."""
 
 from __future__ import annotations
 
@@ -30,12 +30,13 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceReply:
-    """Whole answer of a service.
+    """Complete answer of a service.
 
     Attributes
     ----------
     refused
-        The service says, in the form its protocol defines, that it did not run.
+        Whether the service states, in the form that its protocol defines, that the call
+        did not run.
     """
 
     status: int
@@ -50,4 +51,4 @@
 
     @abc.abstractmethod
     def call(self, request: ServiceRequest) -> Result[ServiceReply, SendError]:
-        """Send a call once and return the whole answer."""
+        """Send a call without retries, and return the complete answer."""
--- a/agaterail/services/http.py
+++ b/agaterail/services/http.py
@@ -1,4 +1,4 @@
-"""Services reached by plain HTTP."""
+"""HTTP client for services."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class HttpService(Service):
-    """Service reached by HTTP."""
+    """Client of one service over HTTP."""
 
     def __init__(self, address: Address) -> None:
         self.connections = HttpConnections(address)
 
     def call(self, request: ServiceRequest) -> Result[ServiceReply, SendError]:
-        """Send a call once and return the whole answer."""
+        """Send a call without retries, and return the complete answer."""
         headers = {**request.headers, "x-request-id": request.request_id}
         sent = self.connections.send(
             request.method,
@@ -37,7 +37,7 @@
         response = sent.unwrap()
         try:
             body = response.read()
-        except Exception as error:  # parse errors and socket errors alike
+        except Exception as error:  # parse errors and socket errors
             response.discard()
             return Failure(ExchangeBroken(str(error), isinstance(error, TimeoutError)))
         if not response.message_complete:
--- a/agaterail/settings.py
+++ b/agaterail/settings.py
@@ -34,13 +34,13 @@
     except ValueError:
         raise ValueError(f"{text!r} is not a number of seconds") from None
     if not 0 <= value < float("inf"):
-        raise ValueError(f"{text!r} is not zero or a positive number of seconds")
+        raise ValueError(f"{text!r} is negative or not finite")
     return value
 
 
 def _parse_count(text: str) -> int:
     if not text.isdecimal():
-        raise ValueError(f"{text!r} is not a whole number of zero or more")
+        raise ValueError(f"{text!r} is not a non-negative integer")
     return int(text)
 
 
@@ -61,7 +61,7 @@
 
 def _parse_word(text: str) -> str:
     if not text or text != text.strip():
-        raise ValueError("the value is empty or has spaces at its ends")
+        raise ValueError("the value is empty or has leading or trailing spaces")
     return text
 
 
@@ -69,7 +69,7 @@
     names = tuple(name.strip() for name in text.split(",") if name.strip())
     for name in names:
         if not _module_exists(name):
-            raise ValueError(f"there is no module {name!r}")
+            raise ValueError(f"module not found: {name!r}")
     return names
 
 
@@ -94,7 +94,7 @@
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """All settings of one daemon; times carry their unit in the name."""
+    """All settings of one daemon; the names of durations end with their unit."""
 
     listen: Address = _setting(
         Address("127.0.0.1", 8080), _parse_address, "address for callers, IP:port"
@@ -112,13 +112,13 @@
         None, _optional(_parse_address), "address of the platform's host list, IP:port"
     )
     kv_store: Address | None = _setting(
-        None, _optional(_parse_address), "address of the store of kept KV cache, IP:port"
+        None, _optional(_parse_address), "address of the KV store, IP:port"
     )
     statsd: Address | None = _setting(
         None, _optional(_parse_address), "address of statsd, IP:port"
     )
     peer_secret: str = _setting("", str, "shared secret of the daemons")
-    log_level: str = _setting("info", _parse_log_level, "lowest level of log lines")
+    log_level: str = _setting("info", _parse_log_level, "minimum level of log lines")
     log_json: bool = _setting(False, _parse_boolean, "write log lines as JSON")
     snapshot_interval_s: float = _setting(
         3600.0,
@@ -126,48 +126,56 @@
         "seconds between snapshots of the tables, at most a quarter of the log's retention",
     )
     drain_lag_s: float = _setting(
-        5.0, _parse_seconds, "seconds for which new connections are served after SIGTERM"
+        5.0,
+        _parse_seconds,
+        "seconds during which new connections are still served after SIGTERM",
     )
     drain_limit_s: float = _setting(
-        120.0, _parse_seconds, "seconds after which a drain ends in any case"
+        120.0, _parse_seconds, "maximum duration of a drain in seconds"
     )
     max_body_bytes: int = _setting(
-        32 * 1024 * 1024, _parse_count, "largest request body in bytes"
+        32 * 1024 * 1024, _parse_count, "maximum size of a request body in bytes"
     )
     extensions: tuple[str, ...] = _setting(
         (), _parse_modules, "modules with a setup(app) function to load, comma-separated"
     )
-    max_in_flight: int = _setting(2000, _parse_count, "most requests at a time on this daemon")
+    max_in_flight: int = _setting(
+        2000, _parse_count, "maximum number of concurrent requests on this daemon"
+    )
     max_header_bytes: int = _setting(
-        32 * 1024, _parse_count, "largest request line and headers of a request in bytes"
+        32 * 1024, _parse_count, "maximum size of a request line and its headers in bytes"
     )
     header_timeout_s: float = _setting(
-        10.0, _parse_seconds, "seconds in which the headers of a request must have arrived"
+        10.0, _parse_seconds, "timeout in seconds for receiving the headers of a request"
     )
     body_timeout_s: float = _setting(
-        30.0, _parse_seconds, "seconds in which the body of a request must have arrived"
+        30.0, _parse_seconds, "timeout in seconds for receiving the body of a request"
     )
     idle_timeout_s: float = _setting(
         300.0, _parse_seconds, "seconds after which an idle connection of a caller is closed"
     )
     tls_certificate: str | None = _setting(
-        None, _optional(_parse_file), "file of the certificate chain shown to callers (PEM)"
+        None,
+        _optional(_parse_file),
+        "file with the certificate chain presented to callers (PEM)",
     )
     tls_key: str | None = _setting(
-        None, _optional(_parse_file), "file of the key of --tls-certificate (PEM)"
+        None, _optional(_parse_file), "file with the private key of --tls-certificate (PEM)"
     )
     peer_tls_certificate: str | None = _setting(
         None,
         _optional(_parse_file),
-        "file of the certificate chain shown to other daemons (PEM)",
+        "file with the certificate chain presented to other daemons (PEM)",
     )
     peer_tls_key: str | None = _setting(
-        None, _optional(_parse_file), "file of the key of --peer-tls-certificate (PEM)"
+        None,
+        _optional(_parse_file),
+        "file with the private key of --peer-tls-certificate (PEM)",
     )
     peer_tls_authority: str | None = _setting(
         None,
         _optional(_parse_file),
-        "file of the authority that signs the daemons' certificates",
+        "file with the certificate of the authority that signs the daemons' certificates",
     )
 
     @classmethod
@@ -183,7 +191,7 @@
 
 @attrs.frozen
 class SettingsProblem:
-    """One line that names the flag, the variable and what is wrong."""
+    """Why a setting is invalid; printed as one line with its flag and variable."""
 
     flag: str
     variable: str
@@ -194,19 +202,19 @@
 
     @classmethod
     def of(cls, name: str, reason: str) -> SettingsProblem:
-        """Return a problem of the setting with this name."""
+        """Build the problem of the setting with a name."""
         return cls(Settings.flag_of(name), Settings.variable_of(name), reason)
 
 
 def load(
     flags: Mapping[str, str], environment: Mapping[str, str]
 ) -> Result[Settings, list[SettingsProblem]]:
-    """Read settings; a flag goes before its variable, which goes before the default.
+    """Read settings; a flag overrides its variable, which overrides the default.
 
     Returns
     -------
     Result
-        The settings, or all problems of single settings.
+        The settings, or the problems of all invalid settings.
     """
     fields = attrs.fields_dict(Settings)
     problems = [_unknown_flag(flag, fields) for flag in flags if flag not in fields]
@@ -225,7 +233,7 @@
 def load_one(
     name: str, flags: Mapping[str, str], environment: Mapping[str, str]
 ) -> Result[Any, SettingsProblem]:
-    """Read one setting by the same precedence."""
+    """Read one setting with the same precedence."""
     field = attrs.fields_dict(Settings)[name]
     text = flags.get(name, environment.get(Settings.variable_of(name)))
     if text is None:
@@ -237,7 +245,7 @@
 
 
 def unknown_variables(environment: Mapping[str, str]) -> list[str]:
-    """Return the variables with the prefix that are no setting."""
+    """Return the variables with the prefix that are not settings."""
     known = {Settings.variable_of(name) for name in attrs.fields_dict(Settings)}
     known.update(OTHER_VARIABLES)
     return sorted(
@@ -248,7 +256,7 @@
 
 
 def describe_setting(field: Any) -> str:
-    """Return the flag, variable, meaning and default of a setting in one line."""
+    """Return the flag, variable, description and default of a setting in one line."""
     default = "none" if field.default in (None, "") else str(field.default)
     flag, variable = Settings.flag_of(field.name), Settings.variable_of(field.name)
     return f"{flag} ({variable}): {field.metadata['description']}; default {default}"
@@ -256,7 +264,7 @@
 
 def _unknown_flag(name: str, fields: Mapping[str, Any]) -> SettingsProblem:
     matches = difflib.get_close_matches(name, fields, n=1)
-    reason = "there is no such setting"
+    reason = "no such setting"
     if matches:
         reason = f"{reason}; did you mean {Settings.flag_of(matches[0])}?"
     return SettingsProblem.of(name, reason)
--- a/agaterail/settings_rules.py
+++ b/agaterail/settings_rules.py
@@ -1,4 +1,4 @@
-"""Rules that join several settings."""
+"""Validation of settings that depend on each other."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def load(
     flags: Mapping[str, str], environment: Mapping[str, str]
 ) -> Result[Settings, list[SettingsProblem]]:
-    """Read settings and check them, each by itself and then together.
+    """Read settings and validate them, first individually and then in combination.
 
     Returns
     -------
@@ -48,7 +48,7 @@
     for first, second in REQUIRED_TOGETHER:
         for given, missing in ((first, second), (second, first)):
             if getattr(chosen, given) and not getattr(chosen, missing):
-                reason = f"needed together with {Settings.flag_of(given)}"
+                reason = f"required together with {Settings.flag_of(given)}"
                 problems.append(SettingsProblem.of(missing, reason))
     return problems
 
@@ -81,7 +81,7 @@
     loopback = ipaddress.ip_address(chosen.peer_listen.host).is_loopback
     if chosen.peer_secret or loopback:
         return []
-    # Without a secret anyone who reaches the port could answer hints and
-    # calls as a daemon; on loopback only this host's processes reach it.
-    reason = f"needed unless {Settings.flag_of('peer_listen')} is a loopback address"
+    # Without a secret, anyone who reaches the port could pose as a daemon and answer hints
+    # and calls. A loopback address is reachable only by processes of this host.
+    reason = f"required unless {Settings.flag_of('peer_listen')} is a loopback address"
     return [SettingsProblem.of("peer_secret", reason)]
--- a/agaterail/util/__init__.py
+++ b/agaterail/util/__init__.py
@@ -1,3 +1,3 @@
-"""Small helpers without state."""
+"""General-purpose helpers."""
 
 from __future__ import annotations
--- a/agaterail/util/address.py
+++ b/agaterail/util/address.py
@@ -11,7 +11,7 @@
 
 @attrs.frozen(order=True)
 class Address:
-    """An IP number and a TCP or UDP port."""
+    """An IP address and a TCP or UDP port."""
 
     host: str
     port: int
@@ -23,12 +23,12 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``10.0.0.1:80`` or ``[::1]:80``.
+        """Parse ``10.0.0.1:80`` or ``[::1]:80``.
 
         Raises
         ------
         ValueError
-            If the text is not an IP number, a colon and a port.
+            If the text is not an IP address, a colon and a port.
         """
         host, separator, port = text.rpartition(":")
         if not separator or not port.isdecimal() or int(port) > MAX_PORT:
--- a/agaterail/util/callbacks.py
+++ b/agaterail/util/callbacks.py
@@ -1,7 +1,7 @@
-"""Callbacks that stand for none."""
+"""Default values for optional callbacks."""
 
 from __future__ import annotations
 
 
 def do_nothing() -> None:
-    """Return at once."""
+    """Do nothing, as the default of an optional callback."""
--- a/agaterail/util/interning.py
+++ b/agaterail/util/interning.py
@@ -1,4 +1,4 @@
-"""Texts that stand in many rows, kept once."""
+"""Interning of strings that occur in many rows, to save memory."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def intern_string(value: str) -> str:
-    """Return the one copy of an equal text."""
+    """Return the interned copy of a string; values of other types are unchanged."""
     return sys.intern(value) if type(value) is str else value
 
 
 def intern_strings(values: Iterable[str]) -> tuple[str, ...]:
-    """Return the texts as a tuple of their one copies."""
+    """Return a tuple of the interned copies of strings."""
     return tuple([intern_string(value) for value in values])
--- a/agaterail/util/jitter.py
+++ b/agaterail/util/jitter.py
@@ -1,4 +1,4 @@
-"""Retry hints that keep callers from coming back all at once."""
+"""Jitter for retry hints."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def jittered_retry_after_s(answer: Answer, request_id: str) -> float:
-    """Return a hint between once and twice the table's, fixed by the request id.
+    """Return one to two times the retry hint of an answer, chosen by the request id.
 
-    Equal hints would bring all refused callers back in the same moment.
+    With equal hints, all refused callers would retry at the same moment.
     """
     base_s = answer.retry_after_s or DEFAULT_RETRY_AFTER_S
     digest = blake2b(request_id.encode(), digest_size=4).digest()
--- a/agaterail/util/readguard.py
+++ b/agaterail/util/readguard.py
@@ -1,4 +1,4 @@
-"""Bound on the time of each read of a stream."""
+"""Read timeouts of streams without a timer for each read."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class ReadGuard:
-    """Bounds all reads of one socket with a single timer.
+    """Applies a timeout to all reads of one socket with a single timer.
 
-    gevent makes a timer for each read that waits; with one event a read these
-    took a sixth of a stream's time. This timer ticks four times in the bound
-    and looks whether the same read still waits, so that a read without data
-    ends after the bound and at most a quarter more.
+    gevent creates a timer for each read that waits. With one event per read, these timers
+    took a sixth of the time spent on a stream. The timer of this class ticks four times
+    per timeout and checks whether the same read still waits, so a read without data ends
+    after the timeout plus at most a quarter of it.
     """
 
     def __init__(self, sock: Any, seconds: float) -> None:
@@ -32,7 +32,7 @@
         self.timer.start(self.tick)
 
     def read(self, size: int) -> bytes:
-        """Return the next bytes, or nothing at the end; raises OSError."""
+        """Return the next bytes, or empty bytes at the end; raises OSError."""
         self.ticks = 0
         self.waiting = True
         try:
@@ -47,7 +47,7 @@
         return data
 
     def tick(self) -> None:
-        """End the read that has waited for too many ticks."""
+        """Count a tick, and abort a read that has waited for more than a timeout."""
         self.ticks += 1
         if self.waiting and self.ticks > TICKS_PER_TIMEOUT:
             self.expired = True
@@ -55,6 +55,6 @@
             self.sock.shutdown(SHUT_RDWR)
 
     def stop(self) -> None:
-        """Stop the timer."""
+        """Stop and close the timer."""
         self.timer.stop()
         self.timer.close()
--- a/agaterail/util/rendezvous.py
+++ b/agaterail/util/rendezvous.py
@@ -13,12 +13,12 @@
 
 
 def weight(key: bytes, member: str) -> bytes:
-    """Return the weight of a member for a key; larger bytes win."""
+    """Return the weight of a member for a key, as bytes to compare."""
     return blake2b(key + b"\0" + member.encode(), digest_size=WEIGHT_BYTES).digest()
 
 
 def owner(key: bytes, members: Iterable[str]) -> str | None:
-    """Return the member with the highest weight, or None without members."""
+    """Return the member with the highest weight, or None if there are no members."""
     return max(members, key=lambda member: weight(key, member), default=None)
 
 
--- a/agaterail/util/ring.py
+++ b/agaterail/util/ring.py
@@ -1,7 +1,7 @@
-"""Consistent hashing: an order of members for each key, without a pass over all.
+"""Consistent hashing: ranks members for a key without visiting all of them.
 
-Rendezvous hashing gives the same kind of order but weighs every member for
-every key, which takes 0.6 ms for 600 members. A ring takes one binary search.
+Rendezvous hashing gives the same kind of ranking but computes the weight of every member
+for every key, which takes 0.6 ms for 600 members. A ring needs one binary search.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 
 def hash_64(data: bytes) -> int:
-    """Return a well-mixed 64-bit number of some bytes."""
+    """Return a 64-bit hash as an integer."""
     return int.from_bytes(blake2b(data, digest_size=HASH_BYTES).digest(), "little")
 
 
 class HashRing:
-    """Members at many points of a circle each; a key belongs to the next point.
+    """Hash ring with many points per member; a key belongs to the next point.
 
-    Equal members give equal orders in every process, in whatever sequence they
-    are named. A member that leaves moves no key between the others.
+    The ranking depends only on the set of members: it is the same in every process and
+    for any order of ``members``. Removing a member moves no key between the others.
 
     Parameters
     ----------
     digests
-        Digests of eight points per member; more points spread more evenly and
-        take longer to build.
+        Number of digests per member, with eight points each. More points distribute
+        keys more evenly and take longer to build.
     """
 
     def __init__(self, members: Sequence[str], digests: int = DIGESTS_PER_MEMBER) -> None:
@@ -50,11 +50,11 @@
         self.indices = array("H", [packed & mask for packed in packed_points])
 
     def first_index(self, key: int) -> int:
-        """Return the place of a key's first member; there must be one."""
+        """Return the index of a key's first member; the ring must not be empty."""
         return self.indices[bisect_right(self.points, key) % len(self.indices)]
 
     def ranked_indices(self, key: int, count: int) -> list[int]:
-        """Return the places of a key's first ``count`` members, in order."""
+        """Return the indices of a key's first ``count`` members, in order."""
         wanted = min(count, len(self.members))
         indices = self.indices
         position, size = bisect_right(self.points, key), len(indices)
--- a/agaterail/util/units.py
+++ b/agaterail/util/units.py
@@ -1,4 +1,4 @@
-"""Factors between units."""
+"""Unit conversion factors."""
 
 from __future__ import annotations
 
--- a/tests/test_agaterail/test_cmd/test_main.py
+++ b/tests/test_agaterail/test_cmd/test_main.py
@@ -24,9 +24,9 @@
 
 
 class UsageErrorTest(unittest.TestCase):
-    # An operator mistypes a command line. Fire alone would drop a value,
-    # pass an unknown flag on or read 007 as a number; the daemon would then
-    # run with settings that nobody asked for. Each must end in one line.
+    # An operator mistypes a command line. Fire alone would drop a value, pass an unknown
+    # flag on or parse 007 as a number, and the daemon would run with unintended settings.
+    # Each mistake must be reported in one line.
     def assert_refused(self, words, *parts, environment=None):
         status, out, err = run_in_process(*words, environment=environment)
         self.assertEqual((status, out), (2, ""))
--- a/tests/test_agaterail/test_cmd/test_tables.py
+++ b/tests/test_agaterail/test_cmd/test_tables.py
@@ -73,7 +73,7 @@
         self.assertEqual(set(self.show()["routes"]), set())
 
     def test_an_empty_directory_deletes_nothing_by_default(self):
-        # A wrong path or a checkout that failed reads as tables without rows.
+        # A wrong path or a failed checkout looks like tables without rows.
         self.apply()
         for file in self.folder.iterdir():
             file.unlink()
@@ -123,8 +123,8 @@
 
 class ShowRoundTripTest(unittest.TestCase):
     def test_shown_tables_can_be_applied_again(self):
-        # Quotes, control characters, a DEL and letters of all planes must
-        # come back as they were.
+        # Quotes, control characters, DEL and characters of all Unicode planes must
+        # survive the round trip.
         workspace = 'a"b\\c\n\x7f\x01ş\U0001f4a1'
         change = edit(
             "e0",
--- a/tests/test_agaterail/test_peers/test_processes.py
+++ b/tests/test_agaterail/test_peers/test_processes.py
@@ -77,8 +77,8 @@
         return counts
 
     def test_concurrent_calls_in_both_directions_are_answered(self):
-        # Each daemon is client and server at the same time, with more calls
-        # wanted than gRPC bears under gevent; none may be lost.
+        # Each daemon is client and server at the same time and starts more calls than
+        # gRPC can handle concurrently under gevent. No call may be lost.
         self.assertEqual(self.run_pair(["same", "same"], 40, 5.0), [40, 40])
 
     def test_a_peer_with_another_secret_gets_no_answer(self):
@@ -90,9 +90,8 @@
         self.assertEqual(self.run_pair(["same", "same"], 5, 5.0, environments), [5, 5])
 
     def test_a_peer_with_a_certificate_of_another_authority_gets_no_answer(self):
-        # A process that knows the secret but holds a certificate that the
-        # daemons' authority did not sign asks a daemon. The handshake fails
-        # on both sides, so neither call is answered.
+        # A process knows the secret, but the daemons' authority did not sign its
+        # certificate. The handshake fails on both sides, so neither call is answered.
         environments = [files_for_peers(make_tls_files(self, HOSTS)) for _ in range(2)]
         self.assertEqual(self.run_pair(["same", "same"], 2, 0.5, environments), [0, 0])
 
--- a/tests/test_agaterail/test_platform/test_cacheevents.py
+++ b/tests/test_agaterail/test_platform/test_cacheevents.py
@@ -23,7 +23,7 @@
         self.assertEqual((batch.epoch, batch.next_number), (77120, 120))
         held, dropped = batch.changes
         self.assertEqual(held, CacheChange("v1", "5c1e07a2", True))
-        # What is left of a part is of no use to a prompt that needs it whole.
+        # A partially evicted part is useless to a prompt, which needs all of it.
         self.assertEqual(dropped, CacheChange("v1", "91bd3f06", False))
 
     def test_a_malformed_answer_is_rejected(self):
--- a/tests/test_agaterail/test_platform/test_desired.py
+++ b/tests/test_agaterail/test_platform/test_desired.py
@@ -96,7 +96,7 @@
 
 
 class SuccessiveVersionsTest(unittest.TestCase):
-    """Unchanged rows were decoded with each version, and no caller answered meanwhile."""
+    """Decoding all rows of every version delayed the answers to callers."""
 
     def setUp(self):
         self.decoder = DesiredDecoder()
--- a/tests/test_agaterail/test_platform/test_feedrecords.py
+++ b/tests/test_agaterail/test_platform/test_feedrecords.py
@@ -24,8 +24,8 @@
         self.assertEqual(found, [(2, {"version": b"9"}), (3, {"v": b"3"})])
 
     def test_a_malformed_record_does_not_hide_the_previous_one(self):
-        # Somebody writes rubbish right after a valid state. Left out with the one
-        # before it, hosts would stay on an older state.
+        # A malformed record follows right after a valid state. If the valid state were
+        # dropped as well, hosts would stay on an older one.
         found = self.to_records(record(1, b'{"v": 1}'), record(2, b'{"v": '), record(3, b""))
         self.assertEqual(found, [(1, {"v": b"1"})])
 
--- a/tests/test_agaterail/test_platform/test_requests.py
+++ b/tests/test_agaterail/test_platform/test_requests.py
@@ -39,7 +39,7 @@
         self.assertEqual(len(inbound.shared_parts), 2)
 
     def test_a_duplicate_single_valued_header_is_refused(self):
-        # Router and target might each read another one of the two.
+        # Router and target might each use a different one of the two values.
         for name in (b"Request-Id", b"host", b"AUTHORIZATION", b"Model", b"Deadline-Ms"):
             with self.subTest(name):
                 found = decode_request(make_inbound([*HEADERS, (name, b"1")]))
@@ -76,8 +76,8 @@
         self.assertFalse(any(b"Bearer" in line for line in lines))
 
     def test_a_caller_cannot_set_router_only_headers(self):
-        # A caller that names another workspace's cache scope, a memory handle
-        # or a tenant would read or hold what is not its own.
+        # By setting a cache scope, a memory handle or a tenant, a caller could read or
+        # hold what belongs to another workspace.
         forged = [
             (name, b"evil")
             for name in (
--- a/tests/test_agaterail/test_util/test_readguard.py
+++ b/tests/test_agaterail/test_util/test_readguard.py
@@ -24,8 +24,8 @@
         return reader
 
     def test_a_read_without_data_times_out(self):
-        # The engine goes silent in the middle of a stream. The caller must
-        # not wait for good: the read ends once a whole bound has passed.
+        # An engine goes silent in the middle of a stream. The caller must not wait
+        # forever: the read ends after one full timeout.
         reader = self.start_read()
         for _ in range(TICKS_PER_TIMEOUT):
             self.guard.tick()
--- a/tests/test_agaterail/test_util/test_ring.py
+++ b/tests/test_agaterail/test_util/test_ring.py
@@ -8,7 +8,7 @@
 
 
 def order_by_full_scan(key, members):
-    """Walk all points of all members upwards from the key."""
+    """Return the members in the order of their points, starting at the key."""
     points = []
     for member in members:
         for number in range(DIGESTS_PER_MEMBER):
