--- a/agaterail/cmd/arguments.py
+++ b/agaterail/cmd/arguments.py
@@ -1,10 +1,10 @@
 """Check the arguments of a command line before they are passed to fire.
 
-Fire is lenient: it accepts a flag whose value is missing, passes unknown flags on to
-commands with keyword arguments, and uses left-over arguments to access attributes of the
-result. It also parses values as Python literals, so ``1e3`` or ``None`` would not stay
-strings. Here each argument is checked against the command's signature, and fire gets each
-value as a string literal.
+Fire is lenient: it drops a value that is given to a flag without one, passes unknown
+flags on to commands with keyword arguments, and uses leftover arguments to access
+attributes of the result. It also parses values as Python literals, so ``1e3`` or ``None``
+would not stay strings. Here each argument is checked against the command's signature, and
+fire gets each value as a string literal.
 """
 
 from __future__ import annotations
--- a/agaterail/cmd/main.py
+++ b/agaterail/cmd/main.py
@@ -82,7 +82,7 @@
         return gateway(settings_file)
 
     def story(self, request_id: str, *paths: str, around: str = "2") -> int:
-        """Print the log lines of one request on all hosts, in order of time.
+        """Print the log lines of one request across hosts, in order of time.
 
         Reads log files, or standard input. The output includes changes of state on the
         request's hosts, from shortly before the request until its end.
@@ -103,8 +103,8 @@
     def losses(self, *paths: str, slot: str = "2") -> int:
         """Group requests that got no complete answer in time by cause and route.
 
-        Reads the gateway's log files, or standard input. Prints the time slots with the
-        most of them, and example request ids for ``story``.
+        Reads the gateway's log files, or standard input. For each group, prints the time
+        slots with the most requests, and example request ids for ``story``.
 
         Parameters
         ----------
--- a/agaterail/peers/__init__.py
+++ b/agaterail/peers/__init__.py
@@ -37,7 +37,7 @@
 
 
 def peer_message(kind: type[M]) -> type[M]:
-    """Register an attrs class as a message under its class name; a class decorator."""
+    """Register an attrs class as a message under its class name (class decorator)."""
     MESSAGE_TYPES[kind.__name__] = kind
     return kind
 
--- a/agaterail/platform/cacheevents.py
+++ b/agaterail/platform/cacheevents.py
@@ -29,7 +29,7 @@
         self.stores = ConnectionsByAddress(CONNECT_TIMEOUT_S)
 
     def follow(self, address: str, since: int, wait_s: float) -> Result[CacheChangeBatch, str]:
-        """Return the changes from an event number on; wait for the first one."""
+        """Return the changes from an event number on, waiting up to ``wait_s`` for one."""
         called = self.stores.to(address).call(
             "GET",
             f"{names.CACHE_EVENTS_PATH}?since={since}",
--- a/agaterail/platform/desired.py
+++ b/agaterail/platform/desired.py
@@ -37,7 +37,7 @@
 REQUEST_KINDS = {
     "safe": RequestKind.SAFE,
     "unsafe": RequestKind.UNSAFE,
-    # Keyed requests have no kind of their own here; as unsafe ones they are not retried.
+    # The gateway has no kind for keyed requests; as unsafe ones they are never retried.
     "keyed": RequestKind.UNSAFE,
     "streaming": RequestKind.STREAM,
 }
--- a/agaterail/platform/fields.py
+++ b/agaterail/platform/fields.py
@@ -18,43 +18,43 @@
 
 def array(value: dict[str, Any], name: str) -> list[Any]:
     """Return a list field; an absent field counts as an empty list."""
-    found = value.get(name)
-    if found is None:
+    field = value.get(name)
+    if field is None:
         return []
-    if not isinstance(found, list):
+    if not isinstance(field, list):
         raise MalformedError(f"{name} is not a list")
-    return found
+    return field
 
 
 def string(value: dict[str, Any], name: str) -> str:
     """Return a required field that is a non-empty string."""
-    found = value.get(name)
-    if not isinstance(found, str) or not found:
+    field = value.get(name)
+    if not isinstance(field, str) or not field:
         raise MalformedError(f"{name} is not a non-empty string")
-    return found
+    return field
 
 
 def number(value: dict[str, Any], name: str, default: float | None = None) -> float:
     """Return a field that is a finite number; it is required if there is no default."""
-    found = value.get(name, default)
-    if isinstance(found, bool) or not isinstance(found, (int, float)):
+    field = value.get(name, default)
+    if isinstance(field, bool) or not isinstance(field, (int, float)):
         raise MalformedError(f"{name} is not a number")
-    if found != found or abs(found) == float("inf"):
+    if field != field or abs(field) == float("inf"):
         raise MalformedError(f"{name} is not finite")
-    return found
+    return field
 
 
 def integer(value: dict[str, Any], name: str, default: int | None = None) -> int:
     """Return a field that is an integer; it is required if there is no default."""
-    found = value.get(name, default)
-    if isinstance(found, bool) or not isinstance(found, int):
+    field = value.get(name, default)
+    if isinstance(field, bool) or not isinstance(field, int):
         raise MalformedError(f"{name} is not an integer")
-    return found
+    return field
 
 
 def boolean(value: dict[str, Any], name: str) -> bool:
     """Return a boolean field; an absent field counts as false."""
-    found = value.get(name, False)
-    if not isinstance(found, bool):
+    field = value.get(name, False)
+    if not isinstance(field, bool):
         raise MalformedError(f"{name} is neither true nor false")
-    return found
+    return field
--- a/agaterail/platform/requests.py
+++ b/agaterail/platform/requests.py
@@ -93,7 +93,7 @@
         not_run=names.NOT_RUN in by_name or status == 421,
         request_id=by_name.get(names.REQUEST_ID, b"").decode("latin-1"),
         headers=passed_on,
-        has_server_stamp=names.SIGNATURE in by_name,
+        has_server_stamp=names.SERVER_STAMP in by_name,
         keep_alive_s=None if keep_alive is None else float(keep_alive.group(1)),
         retry_after_s=_parse_retry_after(by_name.get(names.RETRY_AFTER)),
         weights_version=int(version) if DECIMAL.fullmatch(version) else None,
--- a/agaterail/util/rendezvous.py
+++ b/agaterail/util/rendezvous.py
@@ -13,7 +13,7 @@
 
 
 def weight(key: bytes, member: str) -> bytes:
-    """Return the weight of a member for a key, as bytes to compare."""
+    """Return the weight of a member for a key as bytes; the largest weight wins."""
     return blake2b(key + b"\0" + member.encode(), digest_size=WEIGHT_BYTES).digest()
 
 
--- a/agaterail/util/ring.py
+++ b/agaterail/util/ring.py
@@ -55,16 +55,16 @@
 
     def ranked_indices(self, key: int, count: int) -> list[int]:
         """Return the indices of a key's first ``count`` members, in order."""
-        wanted = min(count, len(self.members))
+        limit = min(count, len(self.members))
         indices = self.indices
         position, size = bisect_right(self.points, key), len(indices)
-        found: list[int] = []
-        while len(found) < wanted:
+        ranked: list[int] = []
+        while len(ranked) < limit:
             index = indices[position % size]
-            if index not in found:
-                found.append(index)
+            if index not in ranked:
+                ranked.append(index)
             position += 1
-        return found
+        return ranked
 
 
 def _points(member: str, digests: int) -> list[int]:
