--- a/tests/test_agaterail/test_platform/test_desired.py
+++ b/tests/test_agaterail/test_platform/test_desired.py
@@ -96,7 +96,7 @@
 
 
 class SuccessiveVersionsTest(unittest.TestCase):
-    """Decoding all rows of every version delayed the answers to callers."""
+    """Unchanged rows were decoded again with each version, which blocked all callers."""
 
     def setUp(self):
         self.decoder = DesiredDecoder()
