--- a/agaterail/cmd/arguments.py
+++ b/agaterail/cmd/arguments.py
@@ -1,11 +1,10 @@
-"""Check the words of a command line before fire sees them.
-
-Fire takes what it is given: it drops the value of a flag that has none, passes
-unknown flags on where a command takes any, and goes on to attributes of the
-result with words that are left over. It also reads values as Python literals,
-so that ``1e3`` or ``None`` would not stay texts. Here each word is checked
-against the command's signature, and fire gets each value as a literal of its
-text.
+"""Check the arguments of a command line before they are passed to fire.
+
+Fire is lenient: it drops a value that is given to a flag without one, passes unknown
+flags on to commands with keyword arguments, and uses leftover arguments to access
+attributes of the result. It also parses values as Python literals, so ``1e3`` or ``None``
+would not stay strings. Here each argument is checked against the command's signature, and
+fire gets each value as a string literal.
 """
 
 from __future__ import annotations
@@ -28,31 +27,31 @@
 
 
 @attrs.frozen
-class Accepted:
-    """What a command takes.
+class CommandSignature:
+    """The flags and paths that a command accepts.
 
     Attributes
     ----------
     values, switches
-        Names of flags that need a value, and of flags that do not.
+        Names of the flags that require a value, and of the boolean flags.
     paths
-        Whether the command needs paths.
+        Whether the command requires paths.
     """
 
     values: frozenset[str]
     switches: frozenset[str]
     paths: bool
 
-    def has(self, name: str) -> bool:
-        """Tell whether there is such a flag."""
+    def has_flag(self, name: str) -> bool:
+        """Return whether the command accepts a flag."""
         return name in self.values or name in self.switches
 
 
-def accepted_by(command: Callable[..., int]) -> Accepted:
-    """Read from the signature what a command takes.
+def signature_of(command: Callable[..., int]) -> CommandSignature:
+    """Derive the accepted flags and paths from the parameters of a command.
 
-    A parameter whose default is the text ``false`` is a switch. A command that
-    takes any keyword takes the settings.
+    A parameter whose default is the string ``false`` is a switch. A command with
+    arbitrary keyword parameters accepts all settings as flags.
     """
     values: set[str] = set()
     switches: set[str] = set()
@@ -66,68 +65,70 @@
             values |= {field.name for field in fields if field.default is not False}
         else:
             (switches if parameter.default == SWITCH_OFF else values).add(parameter.name)
-    return Accepted(frozenset(values), frozenset(switches), paths)
+    return CommandSignature(frozenset(values), frozenset(switches), paths)
 
 
-def check(words: Sequence[str], accepted: Accepted) -> Result[list[str], list[str]]:
-    """Return the words as fire should get them, or one line for each problem."""
+def check(
+    arguments: Sequence[str], signature: CommandSignature
+) -> Result[list[str], list[str]]:
+    """Return the arguments to pass to fire, or one line for each problem."""
     problems: list[str] = []
     paths: list[str] = []
     flags: dict[str, str] = {}
-    left = list(words)
-    while left:
-        word = left.pop(0)
-        if not word.startswith("-"):
-            paths.append(word)
+    remaining = list(arguments)
+    while remaining:
+        argument = remaining.pop(0)
+        if not argument.startswith("-"):
+            paths.append(argument)
             continue
-        name, given, value = word.removeprefix(FLAG).replace("-", "_").partition("=")
-        if not word.startswith(FLAG) or not accepted.has(name):
-            problems.append(_unknown(word, accepted))
-            if left and not given and not left[0].startswith("-"):
-                left.pop(0)
+        name, separator, value = argument.removeprefix(FLAG).replace("-", "_").partition("=")
+        if not argument.startswith(FLAG) or not signature.has_flag(name):
+            problems.append(_unknown_flag(argument, signature))
+            if remaining and not separator and not remaining[0].startswith("-"):
+                remaining.pop(0)
             continue
-        if given:
-            value = word.partition("=")[2]
-        elif name in accepted.switches:
+        if separator:
+            value = argument.partition("=")[2]
+        elif name in signature.switches:
             value = SWITCH_ON
-            if left and left[0].lower() in (SWITCH_ON, SWITCH_OFF):
-                value = left.pop(0)
-        elif left and not left[0].startswith(FLAG):
-            value = left.pop(0)
+            if remaining and remaining[0].lower() in (SWITCH_ON, SWITCH_OFF):
+                value = remaining.pop(0)
+        elif remaining and not remaining[0].startswith(FLAG):
+            value = remaining.pop(0)
         else:
-            problems.append(f"{described(name)}: the value is missing")
+            problems.append(f"{describe_flag(name)}: the value is missing")
             continue
         if name in flags:
-            problems.append(f"{described(name)}: given more than once")
+            problems.append(f"{describe_flag(name)}: given more than once")
         flags[name] = value
-    problems += _path_problems(paths, accepted)
+    problems += _path_problems(paths, signature)
     if problems:
         return Failure(problems)
     literals = [repr(path) for path in paths]
     return Success(literals + [f"{FLAG}{name}={value!r}" for name, value in flags.items()])
 
 
-def described(name: str) -> str:
-    """Return a flag with its variable, if it is a setting."""
+def describe_flag(name: str) -> str:
+    """Return a flag, with its environment variable if it is a setting."""
     flag = Settings.flag_of(name)
     if name in {field.name for field in attrs.fields(Settings)}:
         return f"{flag} ({Settings.variable_of(name)})"
     return flag
 
 
-def _unknown(word: str, accepted: Accepted) -> str:
-    flag = word.partition("=")[0]
-    known = [Settings.flag_of(name) for name in accepted.values | accepted.switches]
-    near = difflib.get_close_matches(flag.replace("_", "-"), sorted(known), n=1)
-    if not near:
-        return f"{flag}: there is no such flag"
-    name = near[0].removeprefix(FLAG).replace("-", "_")
-    return f"{flag}: there is no such flag; did you mean {described(name)}?"
+def _unknown_flag(argument: str, signature: CommandSignature) -> str:
+    flag = argument.partition("=")[0]
+    known = [Settings.flag_of(name) for name in signature.values | signature.switches]
+    matches = difflib.get_close_matches(flag.replace("_", "-"), sorted(known), n=1)
+    if not matches:
+        return f"{flag}: no such flag"
+    name = matches[0].removeprefix(FLAG).replace("-", "_")
+    return f"{flag}: no such flag; did you mean {describe_flag(name)}?"
 
 
-def _path_problems(paths: list[str], accepted: Accepted) -> list[str]:
-    if accepted.paths and not paths:
-        return ["Name at least one table file or directory."]
-    if paths and not accepted.paths:
-        return [f"{word!r}: this command takes flags only" for word in paths]
+def _path_problems(paths: list[str], signature: CommandSignature) -> list[str]:
+    if signature.paths and not paths:
+        return ["At least one table file or directory is required."]
+    if paths and not signature.paths:
+        return [f"{argument!r}: this command accepts only flags" for argument in paths]
     return []
--- a/agaterail/engines/http.py
+++ b/agaterail/engines/http.py
@@ -1,4 +1,4 @@
-"""Engines over their HTTP protocol (docs/internals/protocols)."""
+"""HTTP client for model engines (docs/internals/protocols)."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
     from agaterail.util.address import Address
 
-OK = 200
-STALE_FENCING = 409
-ACCEPTED = 202
+HTTP_OK = 200
+HTTP_CONFLICT = 409
+HTTP_ACCEPTED = 202
 CONTROL_TIMEOUT_S = 2.0
 TRANSFER_TIMEOUT_S = 5.0
-# Homes keep the leading bytes of a key; the rest of it would be most of what
+# Homes store only the leading bytes of a key; the remaining bytes would be most of what
 # an engine sends.
-SENT_BYTES = 8
+KEY_BYTES = 8
 
 
 class HttpEngineReply(EngineReply):
-    """Answer of an engine that is read from a kept connection."""
+    """Answer of an engine, read from a persistent connection."""
 
     def __init__(self, response: Response) -> None:
         self.response = response
@@ -51,20 +51,20 @@
         self.retry_after_s = float(hint) if isinstance(hint, str) else None
 
     def read_available(self) -> bytes:
-        """Return the next bytes, or nothing at the end; raises OSError."""
+        """Return the next bytes, or empty bytes at the end; raises OSError."""
         return self.response.read_available()
 
     def set_read_timeout(self, seconds: float) -> None:
-        """Bound the wait of each later read."""
+        """Set the timeout of each later read."""
         self.response.set_read_timeout(seconds)
 
     def discard(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self.response.discard()
 
 
 class HttpEngine(Engine):
-    """Engine reached by HTTP; control calls use connections of their own."""
+    """Client of one engine over HTTP; control calls use separate connections."""
 
     def __init__(self, address: Address) -> None:
         self.requests = HttpConnections(address)
@@ -79,24 +79,24 @@
         return self._send("/resume", request)
 
     def cancel(self, request_id: str) -> Result[None, str]:
-        """Stop a request."""
+        """Cancel a request."""
         return self._call("POST", "/cancel", {"request_id": request_id}).map(lambda _: None)
 
     def events(self, after: int, wait_s: float) -> Result[CacheEvents, str]:
         """Fetch the cache events after a sequence number, with the load."""
         path = (
-            f"/events?after={after}&wait_ms={int(wait_s * 1e3)}&load=1&key_bytes={SENT_BYTES}"
+            f"/events?after={after}&wait_ms={int(wait_s * 1e3)}&load=1&key_bytes={KEY_BYTES}"
         )
         fetched = self._fetch(path, CONTROL_TIMEOUT_S + wait_s)
-        return fetched.bind(_unpacked).bind(_parse_events)
+        return fetched.bind(_parse_msgpack).bind(_parse_events)
 
     def contents(self) -> Result[CacheContents, str]:
         """Fetch all cached keys."""
-        fetched = self._fetch(f"/cache?key_bytes={SENT_BYTES}", TRANSFER_TIMEOUT_S)
-        return fetched.bind(_unpacked).bind(_parse_contents)
+        fetched = self._fetch(f"/cache?key_bytes={KEY_BYTES}", TRANSFER_TIMEOUT_S)
+        return fetched.bind(_parse_msgpack).bind(_parse_contents)
 
     def order(self, order: EngineOrder) -> Result[OrderAnswer, str]:
-        """Give an order; a failed call leaves open whether it was taken."""
+        """Send an order; after a failed call it may or may not have been accepted."""
         fields = {
             "order_id": order.order_id,
             "fencing": order.fencing,
@@ -111,24 +111,24 @@
             return Failure(str(answer.failure()))
         status, _ = answer.unwrap()
         answers = {
-            OK: OrderAnswer.DONE,
-            ACCEPTED: OrderAnswer.STARTED,
-            STALE_FENCING: OrderAnswer.STALE,
+            HTTP_OK: OrderAnswer.DONE,
+            HTTP_ACCEPTED: OrderAnswer.STARTED,
+            HTTP_CONFLICT: OrderAnswer.STALE,
         }
         return Success(answers.get(status, OrderAnswer.FAILED))
 
     def state(self) -> Result[EngineState, str]:
-        """Read the engine's state back."""
+        """Read the engine's current state."""
         return self._call("GET", "/state").bind(_parse_state)
 
     def export_blocks(self, keys: Sequence[bytes], store: str) -> Result[int, str]:
-        """Have blocks copied to the KV store at ``store``; returns how many were."""
+        """Have the engine copy blocks to the KV store at ``store``; return their number."""
         fields = {"keys": [key.hex() for key in keys], "store": store}
         answer = self._call("POST", "/kv/export", fields, TRANSFER_TIMEOUT_S)
         return answer.map(lambda body: int(body.get("blocks", 0)))
 
     def import_blocks(self, keys: Sequence[bytes], source: str) -> Result[int, str]:
-        """Have blocks copied in from the KV store at ``source``."""
+        """Have the engine copy blocks from a KV store at ``source``; return their number."""
         fields = {"keys": [key.hex() for key in keys], "source": source}
         answer = self._call("POST", "/kv/import", fields, TRANSFER_TIMEOUT_S)
         return answer.map(lambda body: int(body.get("blocks", 0)))
@@ -155,7 +155,7 @@
         timeout_s: float = CONTROL_TIMEOUT_S,
     ) -> Result[dict[str, Any], str]:
         body = b"" if fields is None else json.dumps(fields).encode()
-        return self._fetch(path, timeout_s, method, body).bind(_parsed)
+        return self._fetch(path, timeout_s, method, body).bind(_parse_json)
 
     def _fetch(
         self, path: str, timeout_s: float, method: str = "GET", body: bytes = b""
@@ -164,24 +164,24 @@
         if not isinstance(answer, Success):
             return Failure(str(answer.failure()))
         status, data = answer.unwrap()
-        return Success(data) if status == OK else Failure(f"status {status}")
+        return Success(data) if status == HTTP_OK else Failure(f"status {status}")
 
 
-def _parsed(data: bytes) -> Result[dict[str, Any], str]:
+def _parse_json(data: bytes) -> Result[dict[str, Any], str]:
     try:
-        return _object(json.loads(data))
+        return _require_object(json.loads(data))
     except ValueError as error:
         return Failure(f"malformed answer: {error}")
 
 
-def _unpacked(data: bytes) -> Result[dict[str, Any], str]:
+def _parse_msgpack(data: bytes) -> Result[dict[str, Any], str]:
     try:
-        return _object(msgpack.unpackb(data))
+        return _require_object(msgpack.unpackb(data))
     except Exception as error:  # msgpack raises many unrelated types
         return Failure(f"malformed answer: {error!r}")
 
 
-def _object(value: object) -> Result[dict[str, Any], str]:
+def _require_object(value: object) -> Result[dict[str, Any], str]:
     if not isinstance(value, dict):
         return Failure("malformed answer: not an object")
     return Success(value)
@@ -197,7 +197,7 @@
 def _parse_events(fields: dict[str, Any]) -> Result[CacheEvents, str]:
     try:
         events = [
-            CacheEvent(number, CacheEventKind(kind), _cut_keys(keys))
+            CacheEvent(number, CacheEventKind(kind), _split_keys(keys))
             for number, kind, keys in fields["events"]
         ]
         load = LoadReport(**fields["load"]) if "load" in fields else None
@@ -208,13 +208,13 @@
 
 def _parse_contents(fields: dict[str, Any]) -> Result[CacheContents, str]:
     try:
-        keys = _cut_keys(fields["keys"])
+        keys = _split_keys(fields["keys"])
         return Success(CacheContents(fields["incarnation"], fields["sequence"], keys))
     except (TypeError, KeyError, ValueError) as error:
         return Failure(f"malformed contents: {error}")
 
 
-def _cut_keys(joined: bytes) -> tuple[bytes, ...]:
+def _split_keys(joined: bytes) -> tuple[bytes, ...]:
     return tuple(
-        joined[start : start + SENT_BYTES] for start in range(0, len(joined), SENT_BYTES)
+        joined[start : start + KEY_BYTES] for start in range(0, len(joined), KEY_BYTES)
     )
--- a/agaterail/hostlists/http.py
+++ b/agaterail/hostlists/http.py
@@ -1,4 +1,4 @@
-"""Host list over its HTTP protocol (docs/internals/protocols)."""
+"""HTTP client for the host list (docs/internals/protocols)."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from agaterail.util.address import Address
 from agaterail.util.httpconn import HttpConnections
 
-OK = 200
-NOT_MODIFIED = 304
+HTTP_OK = 200
+HTTP_NOT_MODIFIED = 304
 
 
 class HttpHostList(HostList):
-    """Host list reached by HTTP."""
+    """Client of the host list over HTTP; unchanged lists are not transferred again."""
 
     def __init__(self, address: Address, timeout_s: float = 1.0) -> None:
         self.connections = HttpConnections(address)
@@ -24,9 +24,9 @@
         self.hosts: tuple[Host, ...] = ()
 
     def fetch(self) -> Result[tuple[Host, ...], str]:
-        """Return the hosts, or a sentence that says why there is no answer."""
-        # A list of 1,000 hosts has 80 KB. Fetched whole each second it would
-        # take 16 times what a daemon may spend on control.
+        """Return the hosts, or the reason why the call failed."""
+        # A list of 1,000 hosts has 80 KB. Fetching it every second in full would use 16
+        # times a daemon's budget for control traffic.
         headers = {"if-none-match": self.etag} if self.etag else {}
         sent = self.connections.send(
             "GET", "/hosts", headers=headers, timeout_s=self.timeout_s
@@ -39,12 +39,12 @@
         except Exception as error:  # parse errors and socket errors
             response.discard()
             return Failure(str(error))
-        if response.status_code == NOT_MODIFIED and self.etag:
+        if response.status_code == HTTP_NOT_MODIFIED and self.etag:
             return Success(self.hosts)
-        if response.status_code != OK:
+        if response.status_code != HTTP_OK:
             return Failure(f"status {response.status_code}")
         try:
-            hosts = tuple(_host_of(fields) for fields in json.loads(body)["hosts"])
+            hosts = tuple(_parse_host(fields) for fields in json.loads(body)["hosts"])
         except (ValueError, KeyError, TypeError) as error:
             return Failure(f"malformed list: {error!r}")
         self.hosts = hosts
@@ -52,7 +52,7 @@
         return Success(hosts)
 
 
-def _host_of(fields: dict[str, str]) -> Host:
+def _parse_host(fields: dict[str, str]) -> Host:
     return Host(
         fields["address"],
         HostRole(fields["role"]),
--- a/agaterail/logstore/http.py
+++ b/agaterail/logstore/http.py
@@ -1,4 +1,4 @@
-"""Log service over its HTTP protocol (docs/internals/protocols)."""
+"""HTTP client for the platform's log (docs/internals/protocols)."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from agaterail.util.address import Address
 from agaterail.util.httpconn import ConnectFailed, HttpConnections
 
-THROTTLED = 429
-TOO_LARGE = 413
-OK = 200
+HTTP_TOO_MANY_REQUESTS = 429
+HTTP_CONTENT_TOO_LARGE = 413
+HTTP_OK = 200
 
 
 class HttpLogStore(LogStore):
-    """Log reached by HTTP."""
+    """Client of the log over HTTP."""
 
     def __init__(self, address: Address, timeout_s: float = 2.0) -> None:
         self.connections = HttpConnections(address)
@@ -27,10 +27,10 @@
             "POST", f"/streams/{stream}/append", data, timeout_s=self.timeout_s
         )
         if not isinstance(answer, Success):
-            return Failure(_error_of(answer.failure()))
+            return Failure(_transport_error(answer.failure()))
         status, body = answer.unwrap()
-        if status != OK:
-            return Failure(_refusal(status))
+        if status != HTTP_OK:
+            return Failure(_status_error(status))
         return Success(msgpack.unpackb(body)["offset"])
 
     def read(
@@ -42,26 +42,27 @@
         )
         answer = self.connections.call("GET", path, timeout_s=self.timeout_s + wait_s)
         if not isinstance(answer, Success):
-            return Failure(_error_of(answer.failure()))
+            return Failure(_transport_error(answer.failure()))
         status, body = answer.unwrap()
-        if status != OK:
-            return Failure(_refusal(status))
+        if status != HTTP_OK:
+            return Failure(_status_error(status))
         fields = msgpack.unpackb(body)
         records = [LogRecord(number, data) for number, data in fields["records"]]
         return Success(LogSlice(records, fields["first"], fields["end"]))
 
 
-def _error_of(error: object) -> LogError:
+def _transport_error(error: object) -> LogError:
     if isinstance(error, ConnectFailed):
         return LogError(LogErrorKind.DOWN, error.reason)
     return LogError(LogErrorKind.UNANSWERED, str(error))
 
 
-def _refusal(status: int) -> LogError:
-    if status == THROTTLED:
+def _status_error(status: int) -> LogError:
+    if status == HTTP_TOO_MANY_REQUESTS:
         return LogError(LogErrorKind.THROTTLED)
-    if status == TOO_LARGE:
+    if status == HTTP_CONTENT_TOO_LARGE:
         return LogError(LogErrorKind.TOO_LARGE)
-    # 503 is sent before the record is looked at; any other status says nothing.
+    # 503 is sent before the record is processed. After any other status, an append may
+    # have taken effect.
     kind = LogErrorKind.DOWN if status == 503 else LogErrorKind.UNANSWERED
     return LogError(kind, f"status {status}")
--- a/agaterail/peers/__init__.py
+++ b/agaterail/peers/__init__.py
@@ -1,9 +1,8 @@
-"""Messages between the daemons.
+"""Messages between daemons.
 
-Two transports carry them. Calls go over gRPC and are for what must arrive;
-queries and notices are single datagrams and are for hints, whose loss costs
-milliseconds or a prefix hit at most. docs/internals/decisions has the
-measurement behind the split.
+There are two transports. Calls use gRPC and carry messages that must arrive. Queries and
+notices are single datagrams and carry hints, whose loss costs at most some milliseconds
+or a prefix cache hit. docs/internals/decisions has the measurement behind the split.
 """
 
 from __future__ import annotations
@@ -29,69 +28,69 @@
 
 M = TypeVar("M")
 
-# Fields go by their place, not by name: the names are most of a small message.
-# Daemons of two releases whose fields differ do not understand each other's
-# message, which costs a hint or makes a call fail; both have their fallback.
+# Fields are encoded by position, not by name: names would be most of a small message.
+# Daemons of different releases whose fields differ cannot decode each other's message.
+# This loses a hint or fails a call, and both cases have a fallback.
 converter = make_converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
-MESSAGES: dict[str, type] = {}
-BUSY = "too many calls in flight"
+MESSAGE_TYPES: dict[str, type] = {}
+TOO_MANY_CALLS = "too many calls in flight"
 
 
 def peer_message(kind: type[M]) -> type[M]:
-    """Register an attrs class as a message under its own name."""
-    MESSAGES[kind.__name__] = kind
+    """Register an attrs class as a message under its class name (class decorator)."""
+    MESSAGE_TYPES[kind.__name__] = kind
     return kind
 
 
 @functools.cache
-def resolved(kind: type[M]) -> type[M]:
-    """Return a class with its annotations made types in place of texts.
+def resolve_annotations(kind: type[M]) -> type[M]:
+    """Resolve the string annotations of a class to types, and return the class.
 
-    cattrs does that by itself for classes read by name, but not by place.
+    cattrs does this itself only for classes that are encoded by name, not by position.
     """
-    _resolve(kind)
+    _resolve_field_types(kind)
     return kind
 
 
-def fields_of(message: Any) -> Any:
-    """Return the fields of a message by place."""
-    return converter.unstructure(message, resolved(type(message)))  # type: ignore[arg-type]
+def encode_fields(message: Any) -> Any:
+    """Return the fields of a message as a tuple, by position."""
+    return converter.unstructure(message, resolve_annotations(type(message)))  # type: ignore[arg-type]
 
 
-def message_of(kind: Any, fields: Any) -> Any:
-    """Return the message of fields; raises what cattrs raises."""
-    return converter.structure(fields, resolved(kind))
+def decode_message(kind: Any, fields: Any) -> Any:
+    """Build a message from its fields; raises the exceptions of cattrs."""
+    return converter.structure(fields, resolve_annotations(kind))
 
 
-def _resolve(kind: Any) -> None:
+def _resolve_field_types(kind: Any) -> None:
     if attrs.has(kind):
         attrs.resolve_types(kind)
         for field in attrs.fields(kind):
-            _resolve(field.type)
+            _resolve_field_types(field.type)
     for argument in typing.get_args(kind):
-        _resolve(argument)
+        _resolve_field_types(argument)
 
 
 class Transport(abc.ABC):
-    """Carries sealed messages and their answers."""
+    """Carries signed messages and their answers."""
 
     receive: Callable[[str, bytes], bytes | None]
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Begin to receive."""
+        """Start receiving."""
 
     @abc.abstractmethod
     def stop(self) -> None:
         """Stop receiving."""
 
     @abc.abstractmethod
-    def ask(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
-        """Send and wait for the answer."""
+    def request(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
+        """Send a message and wait for the answer."""
 
     @abc.abstractmethod
-    def tell(self, address: str, data: bytes) -> None:
-        """Send without an answer."""
+    def send(self, address: str, data: bytes) -> None:
+        """Send a message that gets no answer."""
 
 
 class Peers:
@@ -100,7 +99,7 @@
     Parameters
     ----------
     own_address
-        Address under which the others reach this daemon.
+        Address at which other daemons reach this one.
     calls, datagrams
         Transports for calls and for hints.
     secret
@@ -113,21 +112,21 @@
         self.own_address = own_address
         self.calls = calls
         self.datagrams = datagrams
-        self.key = envelope.key_of(secret)
+        self.key = envelope.derive_key(secret)
         self.handlers: dict[type, Callable[[str, Any], object]] = {}
-        self.on_heard: Callable[[str], None] = lambda address: None
-        self.on_missed: Callable[[str, bool], None] = lambda address, is_call: None
+        self.on_message_received: Callable[[str], None] = lambda address: None
+        self.on_unanswered: Callable[[str, bool], None] = lambda address, is_call: None
         self.sent_messages = 0
         self.sent_bytes = 0
         calls.receive = self.receive
         datagrams.receive = self.receive
 
     def handle(self, kind: type[M], handler: Callable[[str, M], object]) -> None:
-        """Answer messages of a type; the handler gets the sender's address."""
+        """Register the handler of a message type; it gets the sender's address too."""
         self.handlers[kind] = handler
 
     def start(self) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self.calls.start()
         self.datagrams.start()
 
@@ -137,61 +136,61 @@
         self.datagrams.stop()
 
     def call(self, address: str, message: object, timeout_s: float = 1.0) -> Result[Any, str]:
-        """Send a message that must arrive and return the answer."""
-        return self._ask(self.calls, address, message, timeout_s)
+        """Send a message that must arrive, and return the answer."""
+        return self._request(self.calls, address, message, timeout_s)
 
     def query(self, address: str, message: object, timeout_s: float) -> Result[Any, str]:
-        """Ask for a hint by datagram; an answer may never come."""
-        return self._ask(self.datagrams, address, message, timeout_s)
+        """Request a hint by datagram; the query or its answer may be lost."""
+        return self._request(self.datagrams, address, message, timeout_s)
 
     def notify(self, address: str, message: object) -> None:
-        """Send a hint by datagram and forget it."""
+        """Send a hint by datagram, without an answer."""
         if address == self.own_address:
             self._dispatch(address, message)
             return
-        self.datagrams.tell(address, self._seal(message))
+        self.datagrams.send(address, self._encode(message))
 
     def receive(self, _source: str, data: bytes) -> bytes | None:
-        """Handle a sealed message and return the sealed answer."""
-        opened = self._open(data)
-        if not isinstance(opened, Success):
-            logger.warning("Drops a message.", reason=opened.failure())
+        """Handle a signed message and return the signed answer."""
+        decoded = self._decode(data)
+        if not isinstance(decoded, Success):
+            logger.warning("Dropped a message.", reason=decoded.failure())
             return None
-        sender, message = opened.unwrap()
-        self.on_heard(sender)
+        sender, message = decoded.unwrap()
+        self.on_message_received(sender)
         answer = self._dispatch(sender, message)
-        return None if answer is None else self._seal(answer)
+        return None if answer is None else self._encode(answer)
 
-    def _ask(
+    def _request(
         self, transport: Transport, address: str, message: object, timeout_s: float
     ) -> Result[Any, str]:
         if address == self.own_address:
             return Success(self._dispatch(address, message))
-        answered = transport.ask(address, self._seal(message), timeout_s)
+        answered = transport.request(address, self._encode(message), timeout_s)
         if isinstance(answered, Success):
-            self.on_heard(address)
-        elif answered.failure() != BUSY:
-            self.on_missed(address, transport is self.calls)
-        return answered.bind(self._open).map(lambda opened: opened[1])
+            self.on_message_received(address)
+        elif answered.failure() != TOO_MANY_CALLS:
+            self.on_unanswered(address, transport is self.calls)
+        return answered.bind(self._decode).map(lambda decoded: decoded[1])
 
     def _dispatch(self, sender: str, message: object) -> object:
         handler = self.handlers.get(type(message))
         return None if handler is None else handler(sender, message)
 
-    def _seal(self, message: Any) -> bytes:
-        fields = fields_of(message)
+    def _encode(self, message: Any) -> bytes:
+        fields = encode_fields(message)
         body = msgpack.packb([self.own_address, type(message).__name__, fields])
-        sealed = envelope.seal(self.key, body)
+        signed = envelope.sign(self.key, body)
         self.sent_messages += 1
-        self.sent_bytes += len(sealed)
-        return sealed
+        self.sent_bytes += len(signed)
+        return signed
 
-    def _open(self, data: bytes) -> Result[tuple[str, Any], str]:
-        body = envelope.open_sealed(self.key, data)
+    def _decode(self, data: bytes) -> Result[tuple[str, Any], str]:
+        body = envelope.verify(self.key, data)
         if body is None:
-            return Failure("wrong secret or damaged")
+            return Failure("wrong secret or corrupted message")
         try:
             sender, name, fields = msgpack.unpackb(body)
-            return Success((sender, message_of(MESSAGES[name], fields)))
+            return Success((sender, decode_message(MESSAGE_TYPES[name], fields)))
         except Exception as error:  # msgpack and cattrs raise many unrelated types
             return Failure(f"{type(error).__name__}: {error}")
--- a/agaterail/peers/grpc.py
+++ b/agaterail/peers/grpc.py
@@ -8,7 +8,7 @@
 from concurrent import futures
 from typing import TYPE_CHECKING
 
-# The library's core would write its own lines to stderr; failures are returned.
+# The gRPC core writes log lines to stderr by default; failures are returned instead.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 import attrs
@@ -17,14 +17,14 @@
 from gevent.lock import BoundedSemaphore
 from returns.result import Failure, Result, Success
 
-from agaterail.peers import BUSY, Transport
+from agaterail.peers import TOO_MANY_CALLS, Transport
 
 if TYPE_CHECKING:
     from agaterail.settings import Settings
     from agaterail.util.address import Address
 
 METHOD = "/agaterail.Peers/Call"
-WORKERS = 8
+SERVER_THREADS = 8
 MAX_CALLS_IN_FLIGHT = 4
 MAX_MESSAGE_BYTES = 32 * 1024 * 1024
 OPTIONS = (
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class TlsFiles:
-    """Contents of the files with which daemons prove themselves to each other."""
+    """Contents of the TLS files with which daemons authenticate each other."""
 
     certificate: bytes
     key: bytes
@@ -45,29 +45,29 @@
 
     @classmethod
     def read(cls, settings: Settings) -> TlsFiles | None:
-        """Read the files that the settings name, or return None if they name none."""
-        names = (
+        """Read the files named in the settings; return None unless all are set."""
+        paths = (
             settings.peer_tls_certificate,
             settings.peer_tls_key,
             settings.peer_tls_authority,
         )
-        if not all(names):
+        if not all(paths):
             return None
-        return cls(*(pathlib.Path(name or "").read_bytes() for name in names))
+        return cls(*(pathlib.Path(path or "").read_bytes() for path in paths))
 
 
 class GrpcTransport(Transport):
-    """One server and a channel per peer.
+    """One server, and one channel per peer.
 
-    With client and server in one process under gevent, calls run into their
-    deadlines once about twenty are in flight, although the peer answers; four
-    at a time ran without a loss, so more wait their turn here.
+    With client and server in one process under gevent, calls time out once about twenty
+    are in flight, although the peer answers. Four at a time ran without a loss, so
+    further calls wait until one of them ends.
 
     Parameters
     ----------
     settings
-        Names the TLS files; without them calls are authenticated by the
-        shared secret but not encrypted.
+        Settings that name the TLS files. Without these files, calls are authenticated
+        by the shared secret but not encrypted.
     """
 
     def __init__(self, address: Address, settings: Settings | None = None) -> None:
@@ -79,7 +79,7 @@
         self.server: grpc.Server | None = None
 
     def start(self) -> None:
-        """Bind the port and serve.
+        """Bind the port and start serving.
 
         Raises
         ------
@@ -88,7 +88,7 @@
         """
         handler = grpc.unary_unary_rpc_method_handler(self._serve)
         service, _, method = METHOD.strip("/").partition("/")
-        server = grpc.server(futures.ThreadPoolExecutor(WORKERS), options=OPTIONS)
+        server = grpc.server(futures.ThreadPoolExecutor(SERVER_THREADS), options=OPTIONS)
         server.add_generic_rpc_handlers(
             (grpc.method_handlers_generic_handler(service, {method: handler}),)
         )
@@ -100,16 +100,16 @@
         self.server = server
 
     def stop(self) -> None:
-        """Stop serving at once."""
+        """Stop serving immediately and close the channels."""
         if self.server is not None:
             self.server.stop(0)
         for channel in self.channels.values():
             channel.close()
 
-    def ask(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
+    def request(self, address: str, data: bytes, timeout_s: float) -> Result[bytes, str]:
         """Call a peer and wait for its answer."""
         if not self.in_flight.acquire(timeout=timeout_s):
-            return Failure(BUSY)
+            return Failure(TOO_MANY_CALLS)
         try:
             answer = self._channel(address).unary_unary(METHOD)(data, timeout=timeout_s)
         except grpc.RpcError as error:
@@ -118,9 +118,9 @@
             self.in_flight.release()
         return Success(answer) if answer else Failure("refused")
 
-    def tell(self, address: str, data: bytes) -> None:
-        """Call a peer and ignore the answer."""
-        self.ask(address, data, 1.0)
+    def send(self, address: str, data: bytes) -> None:
+        """Call a peer and discard the answer."""
+        self.request(address, data, 1.0)
 
     def _channel(self, address: str) -> grpc.Channel:
         channel = self.channels.get(address)
--- a/agaterail/platform/fields.py
+++ b/agaterail/platform/fields.py
@@ -1,4 +1,4 @@
-"""Typed access to fields of decoded JSON, which may come from any writer."""
+"""Type-checked access to the fields of decoded JSON from any writer."""
 
 from __future__ import annotations
 
@@ -6,55 +6,55 @@
 
 
 class MalformedError(ValueError):
-    """A message lacks a field or has one of another type."""
+    """A required field is missing, or a field has the wrong type."""
 
 
-def table(value: Any, name: str) -> dict[str, Any]:
-    """Return a JSON object or complain."""
+def json_object(value: Any, name: str) -> dict[str, Any]:
+    """Return the value if it is a JSON object, else raise MalformedError."""
     if not isinstance(value, dict):
-        raise MalformedError(f"{name} is no object")
+        raise MalformedError(f"{name} is not an object")
     return value
 
 
-def rows(value: dict[str, Any], name: str) -> list[Any]:
-    """Return a list field; an absent one is empty."""
-    found = value.get(name)
-    if found is None:
+def array(value: dict[str, Any], name: str) -> list[Any]:
+    """Return a list field; an absent field counts as an empty list."""
+    field = value.get(name)
+    if field is None:
         return []
-    if not isinstance(found, list):
-        raise MalformedError(f"{name} is no list")
-    return found
+    if not isinstance(field, list):
+        raise MalformedError(f"{name} is not a list")
+    return field
 
 
-def text(value: dict[str, Any], name: str) -> str:
-    """Return a field that must be text and not empty."""
-    found = value.get(name)
-    if not isinstance(found, str) or not found:
-        raise MalformedError(f"{name} is no text")
-    return found
+def string(value: dict[str, Any], name: str) -> str:
+    """Return a required field that is a non-empty string."""
+    field = value.get(name)
+    if not isinstance(field, str) or not field:
+        raise MalformedError(f"{name} is not a non-empty string")
+    return field
 
 
 def number(value: dict[str, Any], name: str, default: float | None = None) -> float:
-    """Return a field that must be a finite number."""
-    found = value.get(name, default)
-    if isinstance(found, bool) or not isinstance(found, (int, float)):
-        raise MalformedError(f"{name} is no number")
-    if found != found or abs(found) == float("inf"):
+    """Return a field that is a finite number; it is required if there is no default."""
+    field = value.get(name, default)
+    if isinstance(field, bool) or not isinstance(field, (int, float)):
+        raise MalformedError(f"{name} is not a number")
+    if field != field or abs(field) == float("inf"):
         raise MalformedError(f"{name} is not finite")
-    return found
+    return field
 
 
-def whole(value: dict[str, Any], name: str, default: int | None = None) -> int:
-    """Return a field that must be a whole number."""
-    found = value.get(name, default)
-    if isinstance(found, bool) or not isinstance(found, int):
-        raise MalformedError(f"{name} is no whole number")
-    return found
+def integer(value: dict[str, Any], name: str, default: int | None = None) -> int:
+    """Return a field that is an integer; it is required if there is no default."""
+    field = value.get(name, default)
+    if isinstance(field, bool) or not isinstance(field, int):
+        raise MalformedError(f"{name} is not an integer")
+    return field
 
 
-def flag(value: dict[str, Any], name: str) -> bool:
-    """Return a field that must be true or false; absent means false."""
-    found = value.get(name, False)
-    if not isinstance(found, bool):
+def boolean(value: dict[str, Any], name: str) -> bool:
+    """Return a boolean field; an absent field counts as false."""
+    field = value.get(name, False)
+    if not isinstance(field, bool):
         raise MalformedError(f"{name} is neither true nor false")
-    return found
+    return field
--- a/agaterail/platform/names.py
+++ b/agaterail/platform/names.py
@@ -4,13 +4,13 @@
 
 # Headers, lower case as the parsers deliver them.
 REQUEST_ID = b"request-id"
-DEADLINE = b"deadline-ms"  # milliseconds that the caller waits, not a point in time
+DEADLINE = b"deadline-ms"  # a timeout in milliseconds, not a point in time
 AUTHORIZATION = b"authorization"
 BEARER = "Bearer "
 LAST_EVENT_ID = b"last-event-id"
 MODEL = b"model"
-TOKEN_USAGE = b"token-usage"  # an announcement of the caller, not what was used
-PROMPT_PREFIX = b"prompt-prefix"  # the whole prompt in parts, not only a prefix
+TOKEN_USAGE = b"token-usage"  # announced by the caller, not measured
+PROMPT_PREFIX = b"prompt-prefix"  # all parts of the prompt, not only a prefix
 WORKSPACE = b"tenant"
 EXPECT_INSTANCE = b"expect-instance"
 EXPECT_VERSION = b"expect-version"
@@ -23,9 +23,9 @@
 BACKUP = b"kv-backup"
 MOVED_FROM = b"kv-from"
 NOT_RUN = b"not-run"
-SIGNATURE = b"server-stamp"
+SERVER_STAMP = b"server-stamp"
 INSTANCE = b"instance-id"
-WEIGHTS_VERSION = b"weight-versions"  # one integer in spite of the plural
+WEIGHTS_VERSION = b"weight-versions"  # a single integer despite the plural
 RETRY_AFTER = b"retry-after"
 KEEP_ALIVE = b"keep-alive"
 CONNECTION = b"connection"
@@ -47,9 +47,9 @@
         b"expect",
     }
 )
-# What the router alone may set. A caller's value is dropped: with it a caller
-# could read another workspace's cache or keep memory of engines for itself.
-SET_BY_ROUTER = frozenset(
+# Headers that only the router may set. Values from callers are dropped: with them a
+# caller could read another workspace's cache or reserve engine memory for itself.
+ROUTER_ONLY = frozenset(
     {
         DEADLINE,
         AUTHORIZATION,
@@ -67,8 +67,9 @@
         MOVED_FROM,
     }
 )
-# Headers that decide something here; two of them would leave open which counts.
-SINGLE = frozenset(
+# Headers that the router interprets. Duplicates are refused, because it would be
+# ambiguous which value applies.
+SINGLE_VALUED = frozenset(
     {
         b"host",
         REQUEST_ID,
@@ -85,7 +86,7 @@
 READY_PATH = b"/agaterail/readiness"
 ORDER_PATH = "/agaterail/order"
 CACHE_EVENTS_PATH = "/agaterail/kv-events"
-WAIT = "Wait-Ms"
+WAIT_MS = "Wait-Ms"
 REPORT_PATH = "/agaterail/report"
 LOG_APPEND_PATH = "/agaterail/log-append"
 LOG_READ_PATH = "/agaterail/log-read"
--- a/agaterail/platform/registrations.py
+++ b/agaterail/platform/registrations.py
@@ -1,4 +1,4 @@
-"""Decode what targets write of themselves into the platform's store."""
+"""Decode the registrations that targets write to the platform's store."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 
 
 def decode_registration(instance: str, value: bytes) -> Result[Registration, str]:
-    """Return the registration in a record's value.
+    """Decode the registration in a record's value.
 
-    Entries also come from other writers; one with a field missing, of another
-    type or with an unknown state names no target to use.
+    Entries can also come from other writers. An entry with a missing field, a wrong type
+    or an unknown state is rejected and yields no target.
     """
     try:
-        found = fields.table(json.loads(value), "the entry")
-        state = fields.text(found, "state")
+        decoded = fields.json_object(json.loads(value), "the entry")
+        state = fields.string(decoded, "state")
         if state not in STATES:
             raise MalformedError("state is unknown")
-        address = fields.text(found, "address")
+        address = fields.string(decoded, "address")
         host, separator, port = address.rpartition(":")
         if not separator or not host or not port.isdigit():
-            raise MalformedError("address is no IP:port")
+            raise MalformedError("address is not of the form IP:port")
         return Success(
             Registration(
                 instance=instance,
-                service=fields.text(found, "service"),
+                service=fields.string(decoded, "service"),
                 address=address,
-                domain=fields.text(found, "zone"),
+                domain=fields.string(decoded, "zone"),
                 ready=state == READY,
-                slots=fields.whole(found, "slots", 0),
-                born=fields.whole(found, "born", 0),
-                weights=_weights(found),
+                slots=fields.integer(decoded, "slots", 0),
+                born=fields.integer(decoded, "born", 0),
+                weights=_weights(decoded),
             )
         )
     except ValueError as error:  # MalformedError and JSON errors
         return Failure(str(error))
 
 
-def _weights(found: dict[str, Any]) -> dict[str, int]:
-    models = (fields.table(item, "a model") for item in fields.rows(found, "models"))
-    return {fields.text(item, "name"): fields.whole(item, "version") for item in models}
+def _weights(decoded: dict[str, Any]) -> dict[str, int]:
+    models = (fields.json_object(item, "a model") for item in fields.array(decoded, "models"))
+    return {fields.string(item, "name"): fields.integer(item, "version") for item in models}
--- a/agaterail/platform/store.py
+++ b/agaterail/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store, the only one."""
+"""Client of the platform's store; all calls to the store are made here."""
 
 from __future__ import annotations
 
@@ -33,53 +33,52 @@
 
 logger = logs.get_logger("store")
 
-PART = 0  # keyed records of operators and targets have one partition only
+PARTITION = 0  # the topics of operators and targets have a single partition
 LEASE_TOPIC = "agaterail-lease"
-TOPIC_OF = {
+TOPIC_BY_FEED = {
     Feed.OPERATORS: names.OPERATOR_TOPIC,
     Feed.TARGETS: names.TARGETS_TOPIC,
     Feed.LEASE: LEASE_TOPIC,
 }
 FLEET_GROUP = "agaterail"
-# Partitions over all topics bound how finely the fleet's shares are dealt: 8 x
-# 16 gives each of 100 daemons one at least.
+# The number of partitions over all topics is the granularity of the fleet's shares:
+# 8 topics x 16 partitions give each of 100 daemons at least one.
 FLEET_TOPICS = tuple(f"agaterail-fleet-{number}" for number in range(8))
 
-# The store answers in some 4 ms and in 250 ms when slow. A channel can also go
-# silent for good; a call that has had no answer for so long is given up, and
-# the next one goes over a new channel.
+# The store answers in about 4 ms, and in 250 ms when it is slow. A connection can also
+# go silent permanently: the call then times out, and the next one opens a new connection.
 ANSWER_TIMEOUT_S = 0.8
 CONNECT_TIMEOUT_S = 0.6
 
-OK = 200
-GONE = 410
-CONFLICTS = (409, 412)
-REFUSALS = (429, 503, 507)
-ENDS = struct.Struct(">QQ")
+HTTP_OK = 200
+HTTP_GONE = 410
+CONFLICT_STATUSES = (409, 412)
+REFUSAL_STATUSES = (429, 503, 507)
+LOG_BOUNDS = struct.Struct(">QQ")
 
 
 class PlatformStore(ControlStore):
-    """The store over its HTTP calls."""
+    """Client of the store's HTTP interface."""
 
-    def __init__(self, address: Address, parts: int) -> None:
+    def __init__(self, address: Address, partitions_per_topic: int) -> None:
         self.connections = HttpConnections(address, CONNECT_TIMEOUT_S)
-        self.parts = parts
-        self.fresh = False
+        self.partitions_per_topic = partitions_per_topic
+        self.use_new_connection = False
         self.calls = 0
         self.decoder = RecordDecoder()
 
     def listing(self, feed: Feed) -> Result[FeedSlice, StoreError]:
         """Read the newest record of each key, page by page.
 
-        Pages are no snapshot, so reading goes on from the end that the first
-        page named: whatever changed meanwhile comes once more.
+        The pages are not a consistent snapshot, so the slice ends at the end offset of
+        the first page: changes made during the listing are read again by ``follow``.
         """
         if feed is Feed.LEASE:
-            return self._whole_log(feed)
+            return self._read_whole_log(feed)
         records: list[FeedRecord] = []
         after, end = "", None
         while True:
-            query = {"topic": TOPIC_OF[feed], "part": PART}
+            query = {"topic": TOPIC_BY_FEED[feed], "part": PARTITION}
             if after:
                 query["after"] = after
             answer = self._call_json("GET", names.LOG_NEWEST_PATH, query, feed=feed)
@@ -87,58 +86,58 @@
                 return Failure(answer.failure())
             try:
                 page = answer.unwrap()
-                records.extend(feedrecords.of_listing(page))
+                records.extend(feedrecords.decode_listing(page))
                 if end is None:
-                    end = fields.whole(page, "end")
-                more = fields.flag(page, "has_more") and records
+                    end = fields.integer(page, "end")
+                more = fields.boolean(page, "has_more") and records
             except ValueError as error:
                 return Failure(StoreError(StoreErrorKind.MALFORMED, str(error)))
             if not more:
-                return Success(FeedSlice(self.decoder.typed(feed, records), end, end))
+                return Success(FeedSlice(self.decoder.to_records(feed, records), end, end))
             after = records[-1].key
 
     def follow(self, feed: Feed, offset: int, wait_s: float) -> Result[FeedSlice, StoreError]:
-        """Read the records from an offset on."""
+        """Read the records from an offset on, waiting up to ``wait_s`` for the first."""
         read = self._read(feed, offset, wait_s)
         if not isinstance(read, Success):
             return Failure(read.failure())
         next_offset, raw, end = read.unwrap()
-        records = self.decoder.typed(feed, feedrecords.of_log(feed, raw))
+        records = self.decoder.to_records(feed, feedrecords.decode_log(feed, raw))
         return Success(FeedSlice(records, next_offset, end))
 
     def decode(self, feed: Feed, records: Sequence[Record]) -> list[Change]:
-        """Return what records say; those that cannot be read are left out."""
-        changes = (self.decoder.change(feed, record) for record in records)
+        """Decode records; malformed records are skipped."""
+        changes = (self.decoder.decode_change(feed, record) for record in records)
         return [change for change in changes if change is not None]
 
     def append_lease(self, entry: LeaseEntry, at: int) -> Result[int, StoreError]:
-        """Append a record iff the log ends at an offset."""
-        found: dict[str, Any] = {"host": entry.host, "boot": entry.boot}
+        """Append a lease record only if the log ends at the given offset."""
+        payload: dict[str, Any] = {"host": entry.host, "boot": entry.boot}
         if entry.released_idle_s is not None:
-            found["released_idle_s"] = entry.released_idle_s
+            payload["released_idle_s"] = entry.released_idle_s
         if entry.load_s is not None:
-            found["load_s"] = round(entry.load_s, 3)
+            payload["load_s"] = round(entry.load_s, 3)
         if entry.naming is not None:
-            found["naming"] = feedrecords.encode_naming(entry.naming)
-        content = json.dumps(found).encode()
-        query = {"topic": LEASE_TOPIC, "part": PART, "at": at}
+            payload["naming"] = feedrecords.encode_naming(entry.naming)
+        content = json.dumps(payload).encode()
+        query = {"topic": LEASE_TOPIC, "part": PARTITION, "at": at}
         answer = self._call_json(
             "POST",
             names.LOG_APPEND_PATH,
             query,
-            feedrecords.LENGTH.pack(len(content)) + content,
+            feedrecords.RECORD_LENGTH.pack(len(content)) + content,
         )
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         try:
-            return Success(fields.whole(answer.unwrap(), "offset"))
+            return Success(fields.integer(answer.unwrap(), "offset"))
         except ValueError as error:
             return Failure(StoreError(StoreErrorKind.UNANSWERED, str(error)))
 
     def join(
         self, member: str, ttl_s: float, generation: int
     ) -> Result[Membership, StoreError]:
-        """Join the group whose partitions stand for the fleet's shares."""
+        """Join the group whose partitions represent shares of the fleet."""
         body = {
             "group": FLEET_GROUP,
             "member": member,
@@ -150,26 +149,29 @@
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         try:
-            found = answer.unwrap()
-            held = [tuple(row[:2]) for row in fields.rows(found, "parts")]
-            total = len(FLEET_TOPICS) * self.parts
+            payload = answer.unwrap()
+            assigned = [tuple(row[:2]) for row in fields.array(payload, "parts")]
+            total = len(FLEET_TOPICS) * self.partitions_per_topic
             return Success(
                 Membership(
-                    generation=fields.whole(found, "generation"),
-                    share=min(1.0, len(held) / total),
-                    ranks=_ranks(held),
+                    generation=fields.integer(payload, "generation"),
+                    share=min(1.0, len(assigned) / total),
+                    ranks=_assigned_ranks(assigned),
                 )
             )
         except (ValueError, TypeError) as error:
             return Failure(StoreError(StoreErrorKind.MALFORMED, str(error)))
 
     def members(self) -> Result[dict[int, str], StoreError]:
-        """Return who holds the fleet's partitions, the first of each topic first."""
+        """Return the holders of the fleet's partitions by rank.
+
+        The first partition of each topic ranks first.
+        """
         answer = self._call_json("GET", names.LOG_OWNERS_PATH, {"group": FLEET_GROUP})
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         try:
-            # The page names no field for the rows; they are the only list.
+            # The name of the field is not documented; it is the only list in the answer.
             lists = [item for item in answer.unwrap().values() if isinstance(item, list)]
             rows = lists[0] if lists else []
             return Success(
@@ -188,8 +190,8 @@
         answer = self._call("POST", names.LOG_LEAVE_PATH, None, body)
         return answer.map(lambda _: None)
 
-    def _whole_log(self, feed: Feed) -> Result[FeedSlice, StoreError]:
-        """Read a log without keys from its first record that is left."""
+    def _read_whole_log(self, feed: Feed) -> Result[FeedSlice, StoreError]:
+        """Read a log without keys from its oldest retained record."""
         offset = 0
         records: list[FeedRecord] = []
         while True:
@@ -198,22 +200,27 @@
                 next_offset, raw, end = read.unwrap()
                 if not raw:
                     return Success(FeedSlice(records, next_offset, end))
-                records.extend(feedrecords.of_log(feed, raw))
+                records.extend(feedrecords.decode_log(feed, raw))
                 offset = next_offset
                 continue
             error = read.failure()
             if error.kind is not StoreErrorKind.EXPIRED or not error.reason.isdigit():
                 return Failure(error)
             if int(error.reason) <= offset:
-                return Failure(StoreError(StoreErrorKind.MALFORMED, "no first offset"))
+                return Failure(
+                    StoreError(
+                        StoreErrorKind.MALFORMED,
+                        "the first offset did not advance",
+                    )
+                )
             offset = int(error.reason)
 
     def _read(
         self, feed: Feed, offset: int, wait_s: float
     ) -> Result[tuple[int, list[tuple[int, bytes]], int], StoreError]:
         query = {
-            "topic": TOPIC_OF[feed],
-            "part": PART,
+            "topic": TOPIC_BY_FEED[feed],
+            "part": PARTITION,
             "from": offset,
             "wait_ms": int(wait_s * 1e3),
         }
@@ -221,12 +228,12 @@
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         body = answer.unwrap()
-        if len(body) < ENDS.size:
-            return Failure(StoreError(StoreErrorKind.MALFORMED, "a short answer"))
-        raw = feedrecords.split(body[ENDS.size :], offset)
+        if len(body) < LOG_BOUNDS.size:
+            return Failure(StoreError(StoreErrorKind.MALFORMED, "truncated answer"))
+        raw = feedrecords.split_records(body[LOG_BOUNDS.size :], offset)
         if raw is None:
-            return Failure(StoreError(StoreErrorKind.MALFORMED, "a cut record"))
-        end, _first = ENDS.unpack_from(body)
+            return Failure(StoreError(StoreErrorKind.MALFORMED, "truncated record"))
+        end, _first = LOG_BOUNDS.unpack_from(body)
         return Success((offset + len(raw), raw, end))
 
     def _call_json(
@@ -241,7 +248,7 @@
         if not isinstance(answer, Success):
             return Failure(answer.failure())
         try:
-            return Success(fields.table(json.loads(answer.unwrap()), "the answer"))
+            return Success(fields.json_object(json.loads(answer.unwrap()), "the answer"))
         except ValueError as error:
             return Failure(StoreError(StoreErrorKind.MALFORMED, str(error)))
 
@@ -254,12 +261,12 @@
         wait_s: float = 0.0,
         feed: Feed | None = None,
     ) -> Result[bytes, StoreError]:
-        whole = path if query is None else f"{path}?{urlencode(query)}"
-        fresh, self.fresh = self.fresh, False
+        request_target = path if query is None else f"{path}?{urlencode(query)}"
+        fresh, self.use_new_connection = self.use_new_connection, False
         self.calls += 1
         answer = self.connections.call(
             method,
-            whole,
+            request_target,
             body,
             timeout_s=ANSWER_TIMEOUT_S + wait_s,
             fresh=fresh,
@@ -267,9 +274,13 @@
         )
         if isinstance(answer, Success):
             status, content = answer.unwrap()
-            return Success(content) if status == OK else Failure(_refusal(status, content))
-        # The other kept channels may be as dead as this one.
-        self.fresh = True
+            return (
+                Success(content)
+                if status == HTTP_OK
+                else Failure(_status_error(status, content))
+            )
+        # Other pooled connections may be dead as well.
+        self.use_new_connection = True
         error = answer.failure()
         kind = (
             StoreErrorKind.UNREACHABLE
@@ -280,21 +291,23 @@
         return Failure(StoreError(kind, error.reason, timed_out))
 
 
-def _ranks(held: list[tuple[str, int]]) -> frozenset[int]:
+def _assigned_ranks(assigned: list[tuple[str, int]]) -> frozenset[int]:
     return frozenset(
-        number for number, topic in enumerate(FLEET_TOPICS) if (topic, PART) in held
+        number for number, topic in enumerate(FLEET_TOPICS) if (topic, PARTITION) in assigned
     )
 
 
-def _refusal(status: int, content: bytes) -> StoreError:
-    if status == GONE:
+def _status_error(status: int, content: bytes) -> StoreError:
+    if status == HTTP_GONE:
         try:
-            first = fields.whole(fields.table(json.loads(content), "the answer"), "first")
+            first = fields.integer(
+                fields.json_object(json.loads(content), "the answer"), "first"
+            )
         except ValueError as error:
             return StoreError(StoreErrorKind.MALFORMED, str(error))
         return StoreError(StoreErrorKind.EXPIRED, str(first))
-    if status in CONFLICTS:
+    if status in CONFLICT_STATUSES:
         return StoreError(StoreErrorKind.CONFLICT, f"status {status}")
-    if status in REFUSALS:
+    if status in REFUSAL_STATUSES:
         return StoreError(StoreErrorKind.REFUSED, f"status {status}")
     return StoreError(StoreErrorKind.MALFORMED, f"status {status}")
--- a/agaterail/settings_rules.py
+++ b/agaterail/settings_rules.py
@@ -1,4 +1,4 @@
-"""Rules that join several settings."""
+"""Validation of settings that depend on each other."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-NEEDED_TOGETHER = (
+REQUIRED_TOGETHER = (
     ("tls_certificate", "tls_key"),
     ("peer_tls_certificate", "peer_tls_key"),
     ("peer_tls_certificate", "peer_tls_authority"),
@@ -24,27 +24,31 @@
 def load(
     flags: Mapping[str, str], environment: Mapping[str, str]
 ) -> Result[Settings, list[SettingsProblem]]:
-    """Read settings and check them, each by itself and then together.
+    """Read settings and validate them, first individually and then in combination.
 
     Returns
     -------
     Result
         The settings, or the problems found.
     """
-    return settings.load(flags, environment).bind(_checked)
+    return settings.load(flags, environment).bind(_check_rules)
 
 
-def _checked(chosen: Settings) -> Result[Settings, list[SettingsProblem]]:
-    problems = [*_missing(chosen), *_unusable_files(chosen), *_missing_secret(chosen)]
+def _check_rules(chosen: Settings) -> Result[Settings, list[SettingsProblem]]:
+    problems = [
+        *_missing_counterparts(chosen),
+        *_unusable_files(chosen),
+        *_missing_secret(chosen),
+    ]
     return Failure(problems) if problems else Success(chosen)
 
 
-def _missing(chosen: Settings) -> list[SettingsProblem]:
+def _missing_counterparts(chosen: Settings) -> list[SettingsProblem]:
     problems: list[SettingsProblem] = []
-    for one, other in NEEDED_TOGETHER:
-        for given, missing in ((one, other), (other, one)):
+    for first, second in REQUIRED_TOGETHER:
+        for given, missing in ((first, second), (second, first)):
             if getattr(chosen, given) and not getattr(chosen, missing):
-                reason = f"needed together with {Settings.flag_of(given)}"
+                reason = f"required together with {Settings.flag_of(given)}"
                 problems.append(SettingsProblem.of(missing, reason))
     return problems
 
@@ -77,7 +81,7 @@
     loopback = ipaddress.ip_address(chosen.peer_listen.host).is_loopback
     if chosen.peer_secret or loopback:
         return []
-    # Without a secret anyone who reaches the port could answer hints and
-    # calls as a daemon; on loopback only this host's processes reach it.
-    reason = f"needed unless {Settings.flag_of('peer_listen')} is a loopback address"
+    # Without a secret, anyone who reaches the port could pose as a daemon and answer hints
+    # and calls. A loopback address is reachable only by processes of this host.
+    reason = f"required unless {Settings.flag_of('peer_listen')} is a loopback address"
     return [SettingsProblem.of("peer_secret", reason)]
--- a/agaterail/util/ring.py
+++ b/agaterail/util/ring.py
@@ -1,7 +1,7 @@
-"""Consistent hashing: an order of members for each key, without a pass over all.
+"""Consistent hashing: ranks members for a key without visiting all of them.
 
-Rendezvous hashing gives the same kind of order but weighs every member for
-every key, which takes 0.6 ms for 600 members. A ring takes one binary search.
+Rendezvous hashing gives the same kind of ranking but computes the weight of every member
+for every key, which takes 0.6 ms for 600 members. A ring needs one binary search.
 """
 
 from __future__ import annotations
@@ -14,57 +14,57 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-NUMBER_BYTES = 8
+HASH_BYTES = 8
 DIGEST_BYTES = 64
 DIGESTS_PER_MEMBER = 12
-PLACE_BITS = 16
+INDEX_BITS = 16
 
 
-def number_of(data: bytes) -> int:
-    """Return a well-mixed 64-bit number of some bytes."""
-    return int.from_bytes(blake2b(data, digest_size=NUMBER_BYTES).digest(), "little")
+def hash_64(data: bytes) -> int:
+    """Return a 64-bit hash as an integer."""
+    return int.from_bytes(blake2b(data, digest_size=HASH_BYTES).digest(), "little")
 
 
-class Ring:
-    """Members at many points of a circle each; a key belongs to the next point.
+class HashRing:
+    """Hash ring with many points per member; a key belongs to the next point.
 
-    Equal members give equal orders in every process, in whatever sequence they
-    are named. A member that leaves moves no key between the others.
+    The ranking depends only on the set of members: it is the same in every process and
+    for any order of ``members``. Removing a member moves no key between the others.
 
     Parameters
     ----------
     digests
-        Digests of eight points per member; more points spread more evenly and
-        take longer to build.
+        Number of digests per member, with eight points each. More points distribute
+        keys more evenly and take longer to build.
     """
 
     def __init__(self, members: Sequence[str], digests: int = DIGESTS_PER_MEMBER) -> None:
         self.members = members
-        marked = sorted(
-            point << PLACE_BITS | place
-            for place, member in enumerate(members)
+        packed_points = sorted(
+            point << INDEX_BITS | index
+            for index, member in enumerate(members)
             for point in _points(member, digests)
         )
-        self.points = array("Q", [mark >> PLACE_BITS for mark in marked])
-        mask = (1 << PLACE_BITS) - 1
-        self.places = array("H", [mark & mask for mark in marked])
-
-    def first(self, key: int) -> int:
-        """Return the place of a key's first member; there must be one."""
-        return self.places[bisect_right(self.points, key) % len(self.places)]
-
-    def ranked(self, key: int, count: int) -> list[int]:
-        """Return the places of a key's first ``count`` members, in order."""
-        wanted = min(count, len(self.members))
-        places = self.places
-        step, size = bisect_right(self.points, key), len(places)
-        found: list[int] = []
-        while len(found) < wanted:
-            place = places[step % size]
-            if place not in found:
-                found.append(place)
-            step += 1
-        return found
+        self.points = array("Q", [packed >> INDEX_BITS for packed in packed_points])
+        mask = (1 << INDEX_BITS) - 1
+        self.indices = array("H", [packed & mask for packed in packed_points])
+
+    def first_index(self, key: int) -> int:
+        """Return the index of a key's first member; the ring must not be empty."""
+        return self.indices[bisect_right(self.points, key) % len(self.indices)]
+
+    def ranked_indices(self, key: int, count: int) -> list[int]:
+        """Return the indices of a key's first ``count`` members, in order."""
+        limit = min(count, len(self.members))
+        indices = self.indices
+        position, size = bisect_right(self.points, key), len(indices)
+        ranked: list[int] = []
+        while len(ranked) < limit:
+            index = indices[position % size]
+            if index not in ranked:
+                ranked.append(index)
+            position += 1
+        return ranked
 
 
 def _points(member: str, digests: int) -> list[int]:
