--- a/agaterail/cmd/gateway.py
+++ b/agaterail/cmd/gateway.py
@@ -103,4 +103,4 @@
 def _on_reload() -> None:
     # A running process keeps its addresses and limits. Whatever operators change at
     # run time comes through the store.
-    logger.info("Ignored SIGHUP, since settings are read only at startup.")
+    logger.info("Ignored SIGHUP because settings are read at startup only.")
--- a/agaterail/gateway/enginecontrol.py
+++ b/agaterail/gateway/enginecontrol.py
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineReport:
-    """State of an engine, some hundred milliseconds old.
+    """State of an engine, a few hundred milliseconds old.
 
     Attributes
     ----------
--- a/agaterail/gateway/kvsavecontroller.py
+++ b/agaterail/gateway/kvsavecontroller.py
@@ -24,8 +24,8 @@
 logger = logs.get_logger("kept")
 
 PATH = b"/kept"
-# Events arrive in batches, and a read returns with the first one. A pause between reads
-# limits them to four per second and store, which is still faster than a save.
+# Events arrive in batches, and a read returns with the first event. A pause after each
+# read limits the reads to four per second per store. A save takes longer than the pause.
 READ_WAIT_S = 0.8
 READ_PAUSE_S = 0.25
 RETRY_PAUSE_S = 1.0
@@ -47,8 +47,8 @@
     The daemons that read the platform's store for the others also follow the events of the
     KV stores. A hash of the prompt's deepest shared part selects the one of them to ask, so
     that a single daemon decides on each part. A KV store allows only a few readers of its
-    events, and with a hundred daemons each sees a part too rarely to know that another one
-    has saved it.
+    events, and each of a hundred daemons sees a part too rarely to know by itself that
+    another one has saved it.
 
     Parameters
     ----------
@@ -182,7 +182,7 @@
 
 
 def encode_query(save_query: SaveQuery) -> str:
-    """Return the path and query string of a query."""
+    """Return the path and query string of a save query."""
     parts = ",".join(save_query.parts)
     return (
         f"{PATH.decode()}?store={quote(save_query.store)}"
@@ -191,7 +191,7 @@
 
 
 def decode_query(query: bytes) -> SaveQuery:
-    """Return the query in a query string.
+    """Parse a save query from a query string.
 
     Raises
     ------
--- a/agaterail/gateway/kvstoreindex.py
+++ b/agaterail/gateway/kvstoreindex.py
@@ -108,8 +108,9 @@
         missing = [(scope, part) for part in parts if self._is_missing((scope, part), now)]
         for key in missing:
             known = self.entries.get(key)
-            # A part that was stored and is not known to be evicted is saved again here.
-            # The store sends no event for it if it still holds the part.
+            # A part that was stored and is not known to be evicted stays confirmed. If
+            # the store still holds it, this save causes no event, and with the shorter
+            # timeout the part would be saved again and again.
             confirmed = known is not None and known.confirmed
             expires_at = now + (ENTRY_TTL_S if confirmed else SAVE_TIMEOUT_S)
             self._put(key, _Entry(expires_at, confirmed))
--- a/agaterail/gateway/orderlease.py
+++ b/agaterail/gateway/orderlease.py
@@ -14,7 +14,7 @@
 ORDER_MARGIN_S = 0.5
 # Upper bound on the extra delay of a renewal at daemons that follow the log through a
 # peer.
-PROPAGATION_DELAY_S = 0.6
+PEER_DELAY_S = 0.6
 # Upper bound on the idle time that a release record reports.
 MAX_IDLE_S = 60.0
 
@@ -71,7 +71,7 @@
         """Return whether some host holds the lease, as far as this host knows."""
         if self.fencing is not None:
             return now < self.held_until
-        ends_at = self.acquirable_at - self.gap_s + PROPAGATION_DELAY_S
+        ends_at = self.acquirable_at - self.gap_s + PEER_DELAY_S
         return (
             self.other_record is not None
             and self.other_record.released_idle_s is None
--- a/agaterail/gateway/placement.py
+++ b/agaterail/gateway/placement.py
@@ -27,7 +27,8 @@
 # Assumed prefill time of one token. It is within a factor of two for the engines in
 # use, and placement depends only on the order of the costs.
 PREFILL_MS_PER_TOKEN = 0.016
-# Time that a request may wait in an engine's queue before it starts.
+# Assumed upper bound on the wait in an engine's queue. A request is not sent if the
+# engine's weights would become too old to start it within this time.
 MAX_QUEUE_S = 1.5
 # Each request in decode slows down every step of the others slightly.
 DECODE_SLOWDOWN_MS = 1.0
--- a/agaterail/gateway/retrybudget.py
+++ b/agaterail/gateway/retrybudget.py
@@ -46,30 +46,30 @@
         self.limits = limits
         self.share = 0.0
         self.requests: dict[str, deque[float]] = {}
-        self.repeats: dict[str, deque[float]] = {}
+        self.retries: dict[str, deque[float]] = {}
 
     def note_request(self, service: str, now: float) -> None:
         """Count a request from a caller."""
-        held = self.requests.setdefault(service, deque())
-        held.append(now)
-        _expire(held, now - self.limits.window_s)
+        requests = self.requests.setdefault(service, deque())
+        requests.append(now)
+        _expire(requests, now - self.limits.window_s)
 
     def remaining(self, service: str, now: float) -> float:
         """Return the retries that remain in the current window."""
         start = now - self.limits.window_s
         requests = self.requests.setdefault(service, deque())
-        repeats = self.repeats.setdefault(service, deque())
+        retries = self.retries.setdefault(service, deque())
         _expire(requests, start)
-        _expire(repeats, start)
+        _expire(retries, start)
         proportional = self.limits.ratio * RATIO_SAFETY_FACTOR * len(requests)
         fixed = self.limits.extra * FIXED_SAFETY_FACTOR * self.share
-        return proportional + fixed - len(repeats)
+        return proportional + fixed - len(retries)
 
     def try_consume(self, service: str, now: float) -> bool:
         """Consume one retry and return whether one was available."""
         if self.remaining(service, now) < 1.0:
             return False
-        self.repeats[service].append(now)
+        self.retries[service].append(now)
         return True
 
 
--- a/agaterail/gateway/shedding.py
+++ b/agaterail/gateway/shedding.py
@@ -24,17 +24,17 @@
 START_TIMEOUT_RATIO = 0.8
 # Longer waits are clamped: they say no more than that the prompt is late.
 MAX_WAIT = 2.5
-# Several control periods fit into the shortest objective: the waits of prompts in
-# flight show an overload before their first tokens do.
+# Several control periods fit into the shortest objective: the waits so far of pending
+# prompts show an overload before their first tokens do.
 CONTROL_PERIOD_S = 0.1
 # Lower bound on the objective of a route, also used if the route has none.
 MIN_OBJECTIVE_S = 0.1
 # Weight of one sample in the moving average. An overload shows within two periods,
 # while a single prompt at MAX_WAIT does not raise the average to START_WAIT.
 SMOOTHING = 0.3
-# Prompts in flight that have waited longer than the average count before their first
-# token only if there are at least this many and they are at least half of all prompts
-# in flight. A single stuck engine must not stop traffic to all engines.
+# Pending prompts that have waited longer than the average count before their first
+# token, but only if there are at least this many and they are at least half of all
+# pending prompts. A single unresponsive engine must not stop traffic to all engines.
 MIN_OVERDUE = 3
 # Change of the refusal probability per period, for the deviation of the wait from its
 # set point and for the change of the wait.
@@ -101,21 +101,21 @@
 
     def begin(self, objective_s: float, now: float) -> PendingPrompt:
         """Register a prompt that is sent to an engine."""
-        waiting = PendingPrompt(now, max(MIN_OBJECTIVE_S, objective_s))
-        self.waiting.add(waiting)
-        return waiting
+        prompt = PendingPrompt(now, max(MIN_OBJECTIVE_S, objective_s))
+        self.waiting.add(prompt)
+        return prompt
 
-    def end(self, waiting: PendingPrompt, now: float, first_token: bool = True) -> None:
+    def end(self, prompt: PendingPrompt, now: float, first_token: bool = True) -> None:
         """Record a prompt's first token, or the end of its wait without one.
 
         If the prompt was refused, broken off or abandoned, its wait is only a lower bound
-        for its first token, so it counts only above the average. Otherwise the quick
-        refusals of a full engine would count as quick first tokens.
+        on the wait for its first token, so it counts only if it is above the average.
+        Otherwise the quick refusals of a full engine would count as quick first tokens.
         """
-        if waiting not in self.waiting:
+        if prompt not in self.waiting:
             return
-        self.waiting.discard(waiting)
-        wait = waiting.wait(now)
+        self.waiting.discard(prompt)
+        wait = prompt.wait(now)
         if first_token or wait > self.mean_wait:
             self.samples.append(wait)
 
@@ -131,8 +131,8 @@
         self.stepped_at = now
         if periods > MAX_IDLE_PERIODS:
             # Either there was no prompt, or this host was suspended. In the latter case
-            # all prompts in flight look late, and shedding would refuse callers while
-            # the engines are idle.
+            # all pending prompts look late, and shedding would refuse callers while the
+            # engines are idle.
             self.samples.clear()
             self.waiting.clear()
             self.mean_wait = self.level = self.refusal_probability = 0.0
--- a/agaterail/gateway/streampace.py
+++ b/agaterail/gateway/streampace.py
@@ -15,7 +15,8 @@
 MIN_LENGTHS = 20
 # Middle of the longest tenth.
 LONG_QUANTILE = 0.95
-# Averaging window for the time between events, with several events per stream.
+# Averaging window for the time between events, long enough for several events of each
+# stream.
 WINDOW_S = 1.0
 # Fewer events say too little about the pace of the engines.
 MIN_EVENTS = 10
--- a/agaterail/gateway/targets.py
+++ b/agaterail/gateway/targets.py
@@ -60,7 +60,8 @@
     heard_at
         Time at which bytes last arrived from it on any connection.
     lapsed_at
-        Time at which its registration vanished during an outage of the store.
+        Time at which its registration was found missing shortly after an outage of the
+        store; None if it is present.
     """
 
     registration: Registration
--- a/agaterail/gateway/weightscontroller.py
+++ b/agaterail/gateway/weightscontroller.py
@@ -151,7 +151,7 @@
         entry = self.lease.release(now)
         if entry is None or at is None:
             return
-        # The next holder may have started only now, and this record is all it reads.
+        # The next holder may have just started, and then this record is all it has read.
         entry = self._with_observations(entry, now)
         answer = self.daemon.store.append_lease(entry, at)
         logger.info("Lease released.", at=at, done=isinstance(answer, Success))
@@ -189,7 +189,7 @@
         return False
 
     def _with_observations(self, entry: LeaseEntry, now: float) -> LeaseEntry:
-        """Return a record with the load time and ages, which a later start cannot observe."""
+        """Return the record with the load time and ages for processes that start later."""
         naming = record_ages(
             self.daemon.state.weights,
             now,
--- a/agaterail/losses.py
+++ b/agaterail/losses.py
@@ -1,4 +1,4 @@
-"""Group requests without a complete answer in time by cause, from all hosts' logs."""
+"""Group failed and late requests by cause, from the log lines of all hosts."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
     from agaterail.requesttrace import LogLine
 
-# From this estimated queue ahead of a prompt, the queue counts as the cause of a late
-# first token. It is half of the shortest latency objective in use.
+# A late first token is attributed to the queue if the daemon's estimate of the queue
+# ahead of the prompt was at least this long, half of the shortest objective in use.
 LONG_QUEUE_MS = 200.0
 # A stream that is cut with less time left than this has hit its time limit.
 TIME_LIMIT_MARGIN_S = 0.15
--- a/tests/test_agaterail/test_gateway/test_cachedirectives.py
+++ b/tests/test_agaterail/test_gateway/test_cachedirectives.py
@@ -13,7 +13,7 @@
 )
 
 
-def make_job(workspace=None, prompted=True, parts=("0A1", "b", "own")):
+def make_context(workspace=None, prompted=True, parts=("0A1", "b", "own")):
     return SimpleNamespace(
         route=SimpleNamespace(prompted=prompted, priority=2),
         workspace=workspace,
@@ -40,33 +40,35 @@
         )
 
     def test_a_request_without_a_prompt_has_no_directives(self):
-        self.assertEqual(self.directives(make_job(prompted=False)), CacheDirectives())
+        self.assertEqual(self.directives(make_context(prompted=False)), CacheDirectives())
 
     def test_the_scope_names_weights_and_an_isolated_workspace(self):
-        self.assertEqual(self.directives(make_job()).cache_scope, "v4")
-        self.assertEqual(self.directives(make_job(make_workspace())).cache_scope, "v4")
+        self.assertEqual(self.directives(make_context()).cache_scope, "v4")
+        self.assertEqual(self.directives(make_context(make_workspace())).cache_scope, "v4")
         isolated = make_workspace(isolated=True)
-        self.assertEqual(self.directives(make_job(isolated)).cache_scope, "v4.w")
+        self.assertEqual(self.directives(make_context(isolated)).cache_scope, "v4.w")
 
     def test_the_workspace_priority_overrides_the_route_priority(self):
-        self.assertEqual(self.directives(make_job()).priority, 2)
-        self.assertEqual(self.directives(make_job(make_workspace(priority=0))).priority, 0)
-        self.assertEqual(self.directives(make_job(make_workspace(priority=70))).priority, 9)
+        self.assertEqual(self.directives(make_context()).priority, 2)
+        self.assertEqual(self.directives(make_context(make_workspace(priority=0))).priority, 0)
+        self.assertEqual(
+            self.directives(make_context(make_workspace(priority=70))).priority, 9
+        )
 
     def test_a_stored_prompt_is_fetched_and_not_saved(self):
-        first = self.directives(make_job())
+        first = self.directives(make_context())
         self.assertEqual(first.save_to, first.fetch_from)
         self.saves = False
-        second = self.directives(make_job())
+        second = self.directives(make_context())
         self.assertEqual((second.fetch_from, second.save_to), (first.fetch_from, ""))
         self.assertEqual(self.asked[0].parts, ["a1", "b"])
         self.assertEqual(self.asked[0].scope, "v4")
 
     def test_without_shared_parts_stores_or_weights_nothing_is_transferred(self):
         for directives in (
-            self.directives(make_job(parts=("own",))),
-            self.directives(make_job(), stores=()),
-            self.directives(make_job(), version=None),
+            self.directives(make_context(parts=("own",))),
+            self.directives(make_context(), stores=()),
+            self.directives(make_context(), version=None),
         ):
             self.assertEqual((directives.fetch_from, directives.save_to), ("", ""))
         self.assertEqual(self.asked, [])
--- a/tests/test_agaterail/test_gateway/test_freshness.py
+++ b/tests/test_agaterail/test_gateway/test_freshness.py
@@ -12,7 +12,7 @@
     def setUp(self):
         self.freshness = Freshness(bound_s=5.0, denial_bound_s=2.0)
 
-    def test_nothing_is_allowed_before_the_first_reading(self):
+    def test_nothing_is_allowed_before_the_first_read(self):
         self.assertFalse(self.freshness.allows_keys(0.0))
         self.assertFalse(self.freshness.allows_denial(0.0))
 
@@ -29,7 +29,7 @@
         self.freshness.confirm(99.0)
         self.assertEqual(self.freshness.age_s(100.0), 0.0)
 
-    def test_an_unknown_key_is_denied_only_by_a_reading_in_the_config_bound(self):
+    def test_an_unknown_key_is_denied_only_after_a_recent_read(self):
         # A key was added 3 s ago, and the last read is older. A 401 would be permanent:
         # the caller would not retry.
         self.freshness.confirm(100.0)
--- a/tests/test_agaterail/test_gateway/test_kvstoreindex.py
+++ b/tests/test_agaterail/test_gateway/test_kvstoreindex.py
@@ -13,7 +13,7 @@
 SCOPE = "v1"
 
 
-class KeptPartsTest(unittest.TestCase):
+class KvStoreIndexTest(unittest.TestCase):
     def setUp(self):
         self.index = KvStoreIndex()
 
--- a/tests/test_agaterail/test_gateway/test_retrybudget.py
+++ b/tests/test_agaterail/test_gateway/test_retrybudget.py
@@ -42,15 +42,15 @@
         for budget in budgets:
             budget.share = 1.0 / 6.0
         budgets[joined].share = 2.0 / 6.0
-        now, requests, repeats = 0.0, [], []
+        now, requests, retries = 0.0, [], []
         for number, is_request, pause in steps:
             now += pause
             if is_request:
                 budgets[number].note_request("s", now)
                 requests.append(now)
             elif budgets[number].try_consume("s", now):
-                repeats.append(now)
-        for end in repeats:
-            inside = sum(end - LIMITS.window_s < at <= end for at in repeats)
+                retries.append(now)
+        for end in retries:
+            inside = sum(end - LIMITS.window_s < at <= end for at in retries)
             asked = sum(end - LIMITS.window_s < at <= end for at in requests)
             self.assertLessEqual(inside, LIMITS.ratio * asked + LIMITS.extra)
--- a/tests/test_agaterail/test_gateway/test_versionhistory.py
+++ b/tests/test_agaterail/test_gateway/test_versionhistory.py
@@ -70,7 +70,7 @@
         self.state.apply_version_ages(record, 50.0, 997.0)
         self.assertEqual(self.age(1, 50.0), 3.0 + SKEW_S)
 
-    def test_a_version_missing_from_the_record_is_newer_than_its_reading(self):
+    def test_a_version_missing_from_the_record_is_newer_than_its_last_read(self):
         """A version that was set right before a power failure counted as overdue."""
         self.state.apply([WeightsNamed(1, "m", 3)], 50.0, at_start=True)
         record = VersionAgeRecord(1000.0, 0.5, {"m": (VersionAge(2, 9.0),)})
@@ -116,13 +116,13 @@
         self.state.apply([WeightsNamed(1, "m", 2)], 11.3, at_start=True)
         record = VersionAgeRecord(1000.0, 0.0, {"m": (VersionAge(2, 9.5),)})
         self.state.apply_version_ages(record, 11.3, 1001.8)
-        engine, named = make_target("i-1", weights={"m": 1}), self.state.weights["m"]
-        found = choose_engine(make_inbound("h"), [engine], set(), RULES, named, 14.5)
+        engine, history = make_target("i-1", weights={"m": 1}), self.state.weights["m"]
+        found = choose_engine(make_inbound("h"), [engine], set(), RULES, history, 14.5)
         self.assertIsNone(found)
 
 
 class VersionAgeMachine(RuleBasedStateMachine):
-    """Processes that start, freeze, read and write records, on inaccurate clocks."""
+    """Processes that start, are suspended, read and write records, on inaccurate clocks."""
 
     @initialize()
     def begin(self):
--- a/tests/test_agaterail/test_gateway/test_weightsplan.py
+++ b/tests/test_agaterail/test_gateway/test_weightsplan.py
@@ -25,14 +25,14 @@
         self.engines = make_engines(5)
         self.plan = WeightsPlan()
 
-    def give(self, loads, now, wait_s=1.0):
+    def record_orders(self, loads, now, wait_s=1.0):
         for load in loads:
             self.plan.record_order(load, now, wait_s, may_be_loading=True)
 
     def test_two_of_five_load_at_once(self):
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0)
         self.assertEqual(len(loads), 2)
-        self.give(loads, 0.0)
+        self.record_orders(loads, 0.0)
         self.assertEqual(self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.5), [])
 
     def test_more_engines_load_more_at_once(self):
@@ -41,7 +41,7 @@
 
     def test_the_next_load_starts_when_one_completes(self):
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0)
-        self.give(loads, 0.0)
+        self.record_orders(loads, 0.0)
         loads[0].target.note_weights("m", 2)
         following = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.5)
         self.assertEqual(len(following), 1)
@@ -51,12 +51,12 @@
         # The order was lost or will be carried out late. The engine still counts as
         # loading and is polled again, and no third engine is ordered.
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0)
-        self.give(loads, 0.0, wait_s=1.0)
+        self.record_orders(loads, 0.0, wait_s=1.0)
         again = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 1.1)
         self.assertEqual(again, loads)
 
     def test_a_newer_version_supersedes_the_one_being_loaded(self):
-        self.give(self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0), 0.0)
+        self.record_orders(self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0), 0.0)
         loads = self.plan.next_loads(self.engines, {"m": 3}, LIGHT, 1.1)
         self.assertEqual({load.version for load in loads}, {3})
 
--- a/tests/test_agaterail/test_logs.py
+++ b/tests/test_agaterail/test_logs.py
@@ -36,7 +36,7 @@
 START_SECONDS = 20.0
 
 
-class FormTest(unittest.TestCase):
+class LogFormatTest(unittest.TestCase):
     def setUp(self):
         self.addCleanup(logs.configure, "error")
 
@@ -54,7 +54,7 @@
         fields = json.loads(self.written(True))
         self.assertEqual((fields["part"], fields["target"]), ("choose", "10.0.0.1:80"))
 
-    def test_a_value_cannot_start_a_line_of_its_own(self):
+    def test_a_line_break_in_a_value_cannot_start_a_new_line(self):
         for json_lines in (False, True):
             text = self.written(json_lines, target="x\n2026-01-01 info main: All well.")
             self.assertEqual(text.count("\n"), 1)
