--- a/agaterail/cmd/gateway.py
+++ b/agaterail/cmd/gateway.py
@@ -35,7 +35,7 @@
 
 
 def gateway(
-    settings_file: str = "", started_at: float | None = None, processor_at: float = 0.0
+    settings_file: str = "", started_at: float | None = None, initial_cpu_s: float = 0.0
 ) -> int:
     """Run the gateway until SIGTERM; return the exit status.
 
@@ -43,11 +43,11 @@
     ----------
     started_at
         Boot-clock time at which the process started importing; by default now.
-    processor_at
+    initial_cpu_s
         CPU time that the process had used by then, in seconds.
     """
     start_time = boottime_s() if started_at is None else started_at
-    startup_timer = StartupTimer(start_time, processor_at, boottime_s)
+    startup_timer = StartupTimer(start_time, initial_cpu_s, boottime_s)
     path = settings_file or os.environ.get(names.SETTINGS_VARIABLE, "")
     if not path:
         print(
--- a/agaterail/gateway/__main__.py
+++ b/agaterail/gateway/__main__.py
@@ -19,4 +19,4 @@
 from agaterail.cmd.gateway import gateway
 
 if __name__ == "__main__":
-    sys.exit(gateway(started_at=STARTED_AT, processor_at=PROCESSOR_AT))
+    sys.exit(gateway(started_at=STARTED_AT, initial_cpu_s=PROCESSOR_AT))
--- a/agaterail/gateway/enginecontrol.py
+++ b/agaterail/gateway/enginecontrol.py
@@ -71,7 +71,7 @@
 
 
 class EngineControl(abc.ABC):
-    """Calls to engines, each sent once and never retried."""
+    """Calls to engines; each call is sent once, without retries."""
 
     @abc.abstractmethod
     def report(self, target: Target) -> Result[EngineReport, str]:
--- a/agaterail/gateway/kvsavecontroller.py
+++ b/agaterail/gateway/kvsavecontroller.py
@@ -34,8 +34,8 @@
 # Without an answer the prompt is saved, which only costs memory in the store.
 ASK_TIMEOUT_S = 0.05
 PEER_BACKOFF_S = 1.0
-# Time for which the answer that a prompt need not be saved is cached. One daemon
-# notices an eviction up to this much later.
+# Time for which the answer that a prompt need not be saved is cached. Only the daemon
+# that cached it notices an eviction up to this much later.
 SKIP_TTL_S = 3.0
 MAX_SKIP_ENTRIES = 4096
 OK = 200
@@ -111,7 +111,9 @@
         since = self.next_numbers.get(address, 0)
         found = self.feed.follow(address, since, READ_WAIT_S)
         if not isinstance(found, Success):
-            logger.info("Cannot read KV store events.", store=address, reason=found.failure())
+            logger.info(
+                "Could not read KV store events.", store=address, reason=found.failure()
+            )
             gevent.sleep(RETRY_PAUSE_S)
             return
         batch = found.unwrap()
--- a/agaterail/gateway/shedding.py
+++ b/agaterail/gateway/shedding.py
@@ -45,7 +45,8 @@
 MAX_REFUSAL_PROBABILITY = 0.9
 # The state is reset after this many periods without a prompt.
 MAX_IDLE_PERIODS = 20
-# Hysteresis of the log messages about the start and end of shedding.
+# Shedding is logged as started above LOG_ABOVE and as stopped at LOG_BELOW or less, so
+# that small fluctuations of the refusal probability are not logged.
 LOG_ABOVE = 0.2
 LOG_BELOW = 0.01
 
--- a/agaterail/gateway/weightscontroller.py
+++ b/agaterail/gateway/weightscontroller.py
@@ -211,7 +211,9 @@
         if not isinstance(found, Success):
             plan.record_order(load, now, UNANSWERED_POLL_S, may_be_loading=False)
             logger.info(
-                "Cannot read engine report.", target=target.instance, reason=found.failure()
+                "Could not read the engine report.",
+                target=target.instance,
+                reason=found.failure(),
             )
             return
         report = found.unwrap()
--- a/agaterail/gateway/weightsplan.py
+++ b/agaterail/gateway/weightsplan.py
@@ -125,8 +125,8 @@
 def first_poll_s(known_load_s: float | None) -> float:
     """Return the seconds after which a loading engine is first polled.
 
-    Before the first load was observed, this is the regular poll interval, because the
-    first load provides the estimate for all others.
+    Until a load has been observed, this is the regular poll interval, because the first
+    load provides the estimate for all others.
     """
     if known_load_s is None:
         return POLL_INTERVAL_S
--- a/agaterail/requesttrace.py
+++ b/agaterail/requesttrace.py
@@ -98,7 +98,10 @@
 
 
 def seconds_of_day(timestamp: str) -> float:
-    """Return the time of day of a timestamp in seconds; NaN if it cannot be parsed."""
+    """Return the time of day of a timestamp in seconds; NaN if it cannot be parsed.
+
+    The date is ignored, since only lines that are close in time are compared.
+    """
     clock = timestamp.partition("T")[2].rstrip("Z")
     try:
         hours, minutes, seconds = clock.split(":")
