--- a/agaterail/gateway/enginecontrol.py
+++ b/agaterail/gateway/enginecontrol.py
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineReport:
-    """State of an engine, some hundred milliseconds old.
+    """State of an engine, a few hundred milliseconds old.
 
     Attributes
     ----------
@@ -71,7 +71,7 @@
 
 
 class EngineControl(abc.ABC):
-    """Calls to engines, each sent once and never retried."""
+    """Calls to engines; each call is sent once, without retries."""
 
     @abc.abstractmethod
     def report(self, target: Target) -> Result[EngineReport, str]:
