--- a/agaterail/admission.py
+++ b/agaterail/admission.py
@@ -25,10 +25,10 @@
 class FairGate:
     """Limits the outstanding work of each workspace in one pool.
 
-    A workspace may hold at most as much of the queue as is free, times its
-    weight (dynamic thresholds). A single flooding workspace thus ends up with
-    half of the queue and the other half stays free, without tracking which
-    workspaces are active.
+    A workspace may hold at most as much of the queue as is free, times the
+    weight of the request (dynamic thresholds). With a weight of 1, a single
+    flooding workspace thus ends up with half of the queue and the other half
+    stays free, without tracking which workspaces are active.
 
     Attributes
     ----------
@@ -121,21 +121,21 @@
 def priority_weight(priority: int) -> float:
     """Return the threshold weight of a priority, 0.5 for the lowest to 2 for the highest.
 
-    The lowest priority is refused first, when half of the queue is in use; the
-    highest may use nearly all that is left.
+    The lowest priority is refused first: if no other workspace uses the queue,
+    its requests may fill one third of it, those of the highest two thirds.
     """
     return 0.5 * 4.0 ** (priority / MAX_PRIORITY)
 
 
-def can_meet_deadline(load: AdmissionRequest) -> bool:
+def can_meet_deadline(request: AdmissionRequest) -> bool:
     """Return whether the first token is expected before the deadline.
 
     Lower priorities need a safety margin, so under load they are refused first.
     """
-    if load.expected_ms is None:
+    if request.expected_ms is None:
         return True
-    headroom = MIN_HEADROOM + (1.0 - MIN_HEADROOM) * load.priority / MAX_PRIORITY
-    return load.expected_ms <= load.remaining_ms * headroom
+    headroom = MIN_HEADROOM + (1.0 - MIN_HEADROOM) * request.priority / MAX_PRIORITY
+    return request.expected_ms <= request.remaining_ms * headroom
 
 
 def queue_capacity_ms(targets: int, members: int, deadline_ms: float) -> float:
--- a/agaterail/candidates.py
+++ b/agaterail/candidates.py
@@ -159,8 +159,8 @@
         now = self.timers.now()
         depths = () if prefix.exact else prefix.depths
         queries = {
-            home: CandidateQuery(tuple(asked), prefix.keys, depths)
-            for home, asked in self._by_home(engines).items()
+            home: CandidateQuery(tuple(queried), prefix.keys, depths)
+            for home, queried in self._by_home(engines).items()
             if self.backoff_until.get(home, 0.0) <= now
         }
         states: dict[str, CandidateState] = {}
--- a/agaterail/claims.py
+++ b/agaterail/claims.py
@@ -257,8 +257,8 @@
         entry = self.entries.get(finish.key)
         if entry is None or entry.attempt != finish.attempt or entry.finish is not None:
             return
-        # Decoding creates a new string per record; interning shares the few
-        # distinct content types and saves memory.
+        # Decoding creates new strings for each record. Reusing the entry's attempt
+        # and interning the few distinct content types saves memory.
         entry.finish = attrs.evolve(
             finish, attempt=entry.attempt, content_type=sys.intern(finish.content_type)
         )
--- a/agaterail/controllers/hosts.py
+++ b/agaterail/controllers/hosts.py
@@ -53,12 +53,12 @@
         return {"members": list(self.members)}
 
     def _on_hosts(self, hosts: tuple[Host, ...]) -> None:
-        routers = [
+        daemons = [
             host.address
             for host in hosts
             if host.role is HostRole.ROUTER and host.state is HostState.LIVE
         ]
-        self.app.members.on_list(routers)
+        self.app.members.on_list(daemons)
         leaving = {host.address for host in hosts if host.state is HostState.LEAVING}
         for address in self.app.targets.set_leaving(leaving):
             logger.info("Target is leaving.", target=address, source="host_list")
--- a/agaterail/controllers/snapshots.py
+++ b/agaterail/controllers/snapshots.py
@@ -69,7 +69,7 @@
             )
             self.app.metrics.count("tables.snapshots")
             return
-        logger.warning("Failed to write a snapshot.", reason=written.failure())
+        logger.warning("Did not write a snapshot.", reason=written.failure())
         self.schedule.on_failed(now)
 
     def _superseded(self, covered: int) -> bool:
--- a/agaterail/controllers/transfers.py
+++ b/agaterail/controllers/transfers.py
@@ -1,4 +1,4 @@
-"""Export reused prefixes from engines to the KV cache store."""
+"""Export reused prefixes from engines to the KV store."""
 
 from __future__ import annotations
 
--- a/agaterail/events.py
+++ b/agaterail/events.py
@@ -71,4 +71,6 @@
             try:
                 callback(event)
             except Exception:
-                logger.exception("Event subscriber raised.", event_type=type(event).__name__)
+                logger.exception(
+                    "Event subscriber raised an exception.", event_type=type(event).__name__
+                )
--- a/agaterail/filters/choose.py
+++ b/agaterail/filters/choose.py
@@ -92,7 +92,7 @@
             addresses = [state.address for state in targets]
             views = self._query_candidates(exchange, addresses, sample) if addresses else {}
             placement = attrs.evolve(placement, views=views)
-            placement = attrs.evolve(placement, kept=self._query_kv_store(placement))
+            placement = attrs.evolve(placement, import_source=self._query_kv_store(placement))
         if not targets:
             targets = self.app.targets.usable(placement.pool, placement.now, exchange.excluded)
         if not targets:
--- a/agaterail/index.py
+++ b/agaterail/index.py
@@ -212,12 +212,12 @@
 
     # Events of the engine
 
-    def on_incarnation(self, incarnation: str, asked_at: float, now: float) -> bool:
+    def on_incarnation(self, incarnation: str, requested_at: float, now: float) -> bool:
         """Switch to an engine's incarnation; return False if it may be a past one.
 
         Parameters
         ----------
-        asked_at
+        requested_at
             Time at which the query that returned the incarnation was sent.
         """
         if incarnation == self.incarnation:
@@ -226,7 +226,7 @@
         # answered by the previous one. Accepting that as a newer incarnation
         # would follow the dead engine and ignore the live one from then on. If
         # there really is a newer one, the next query finds it.
-        if incarnation in self.past_incarnations or asked_at < self.incarnation_known_at:
+        if incarnation in self.past_incarnations or requested_at < self.incarnation_known_at:
             return False
         if self.incarnation:
             self.past_incarnations.append(self.incarnation)
@@ -244,10 +244,10 @@
             self.needs_contents = True
         self.weights_version = version
 
-    def on_events(self, batch: CacheEvents, asked_at: float, now: float) -> None:
+    def on_events(self, batch: CacheEvents, requested_at: float, now: float) -> None:
         """Apply events in order; repeated and late ones have no effect."""
         known = self.incarnation
-        if not self.on_incarnation(batch.incarnation, asked_at, now):
+        if not self.on_incarnation(batch.incarnation, requested_at, now):
             return
         if known != batch.incarnation:
             # The batch was requested with a sequence number of the old
@@ -260,9 +260,9 @@
             self._mark_gap(batch.last_sequence - self.sequence)
             self.sequence = batch.last_sequence
 
-    def on_contents(self, contents: CacheContents, asked_at: float, now: float) -> bool:
+    def on_contents(self, contents: CacheContents, requested_at: float, now: float) -> bool:
         """Replace all entries; return False if the contents are out of date."""
-        if not self.on_incarnation(contents.incarnation, asked_at, now):
+        if not self.on_incarnation(contents.incarnation, requested_at, now):
             return False
         if contents.sequence < self.sequence:
             return False
--- a/agaterail/leases.py
+++ b/agaterail/leases.py
@@ -42,7 +42,8 @@
     fencing
         Offset of the acquire record that a renewal or release refers to.
     nonce
-        Unique id of this append, by which its writer recognizes it.
+        Unique id of this append, by which its writer distinguishes it from its
+        other appends.
     """
 
     holder: str
@@ -182,7 +183,7 @@
         return self._record(LeaseAction.ACQUIRE, NO_OFFSET)
 
     def release(self) -> LeaseRecord | None:
-        """Give up the lease and return the record that releases it."""
+        """Stop sending orders and return the record that releases the lease."""
         if self.view.holder != self.holder:
             return None
         self.held_until = float("-inf")
--- a/agaterail/loads.py
+++ b/agaterail/loads.py
@@ -51,15 +51,15 @@
         self.backlog_ms = 0.0
         self.backlog_at = 0.0
 
-    def on_report(self, report: LoadReport, asked_at: float) -> bool:
+    def on_report(self, report: LoadReport, requested_at: float) -> bool:
         """Rebuild the estimate from a report; return False if it is not newer.
 
         Parameters
         ----------
-        asked_at
+        requested_at
             Time on this host's clock at which the report was requested.
         """
-        measured_at = asked_at - report.age_ms / 1e3
+        measured_at = requested_at - report.age_ms / 1e3
         known = self.report
         same = known is not None and known.incarnation == report.incarnation
         if same and measured_at <= self.measured_at:
--- a/agaterail/policies/__init__.py
+++ b/agaterail/policies/__init__.py
@@ -32,7 +32,7 @@
     views
         States of the candidates by address, as reported by their homes; empty
         for policies that do not query homes.
-    kept
+    import_source
         KV store from which blocks of the prompt can be imported, if any.
     """
 
@@ -42,7 +42,7 @@
     deadline_ms: float
     now: float = 0.0
     views: Mapping[str, CandidateState] = attrs.field(factory=dict)
-    kept: Source | None = None
+    import_source: Source | None = None
 
 
 @attrs.frozen(kw_only=True)
--- a/agaterail/policies/cost.py
+++ b/agaterail/policies/cost.py
@@ -260,11 +260,11 @@
         evict blocks that other requests need (decision 0202).
         """
         pool, view = placement.pool, placement.views.get(state.address)
-        if placement.kept is None or view is None:
+        if placement.import_source is None or view is None:
             return None
         prefill_ms_per_token = view.prefill_ms_per_token or pool.prefill_ms_per_token
         return plan_import(
-            placement.kept,
+            placement.import_source,
             cached_blocks=view.depth,
             import_ms_per_block=pool.import_ms_per_block,
             prefill_ms_per_block=prefill_ms_per_token * pool.block_tokens,
@@ -299,8 +299,8 @@
             address=state.address,
             reason="unknown" if view is None else f"cost_{'hit' if view.depth else 'cold'}",
             hit_blocks=0 if view is None else view.depth,
-            # This daemon's own requests alone are too weak an estimate of the
-            # queue to refuse a request.
+            # This daemon's own requests alone say too little about the
+            # queue to refuse a request by it.
             expected_ms=None if view is None else terms.expected_ms,
             queue_ms=terms.queue,
             transfer=transfer,
--- a/agaterail/rollout.py
+++ b/agaterail/rollout.py
@@ -82,9 +82,9 @@
     ordered_at
         Monotonic time of that order, in seconds.
     failed
-        Revision whose order failed on this engine.
+        Revision whose order or probe failed on this engine.
     probed
-        Engine incarnation and state that passed the check.
+        Engine incarnation and state in which the probe succeeded.
     """
 
     state: EngineState | None = None
@@ -118,7 +118,7 @@
         return state.weights_version in versions
 
     def verified(self, desired: DesiredState) -> bool:
-        """Return whether the engine has the desired state and passed the check in it."""
+        """Return whether the engine has the desired state and the probe succeeded in it."""
         if self.state is None or not desired.is_met_by(self.state):
             return False
         return self.probed == (self.state.incarnation, desired)
@@ -229,7 +229,7 @@
         return []
     any_verified = any(view.verified(desired) for view in views.values())
     if not any_verified and any(view.may_be_loading(now) for view in views.values()):
-        # Canary: until one engine has passed the check, no second one is
+        # Canary: until one engine has passed the probe, no second one is
         # changed. A bad version would otherwise take down several engines.
         return []
     versions = (pool.weights_version, *pool.also_serve)
@@ -251,7 +251,7 @@
 ) -> list[str]:
     # Loading weights drops the engine's cache. Engines with few cached blocks
     # go first, so that the long prefixes of the others stay cached during the
-    # check.
+    # probe.
     outdated = [
         address
         for address, view in views.items()
--- a/agaterail/tables_reader.py
+++ b/agaterail/tables_reader.py
@@ -125,14 +125,14 @@
         return Success(Step(records, at_end=at_end))
 
     def _fold(self, offset: int, data: bytes) -> FoldedRecord:
-        record, folded = fold_bytes(self.tables, data, offset)
-        self.tables = folded.tables
+        record, result = fold_bytes(self.tables, data, offset)
+        self.tables = result.tables
         if isinstance(record, Edit):
             self.bytes_since_mark += len(data)
         if isinstance(record, SnapshotMark):
             self._add_mark(offset, record)
             self.bytes_since_mark = 0
-        return FoldedRecord(offset, record, folded)
+        return FoldedRecord(offset, record, result)
 
     def _add_mark(self, offset: int, mark: SnapshotMark) -> None:
         if mark.through >= offset or mark.rules != RULES_VERSION:
--- a/tests/fuzz_claims.py
+++ b/tests/fuzz_claims.py
@@ -15,7 +15,7 @@
     """State machine that counts examples, requests, executions and crashes."""
 
     examples = 0
-    asked = 0
+    requests = 0
     executed = 0
     crashes = 0
 
@@ -23,7 +23,7 @@
         """Add the counts of one example."""
         super().teardown()
         CountedMachine.examples += 1
-        CountedMachine.asked += len(self.all_calls)
+        CountedMachine.requests += len(self.all_calls)
         CountedMachine.executed += len(self.journal)
         CountedMachine.crashes += sum(self.incarnations)
 
@@ -47,7 +47,7 @@
     run_state_machine_as_test(CountedMachine, settings=settings)
     print(
         f"seed {arguments.seed}: {CountedMachine.examples} examples of up to"
-        f" {arguments.steps} steps, {CountedMachine.asked} requests,"
+        f" {arguments.steps} steps, {CountedMachine.requests} requests,"
         f" {CountedMachine.executed} executions, {CountedMachine.crashes} crashes,"
         f" no fault, {time.monotonic() - started:.0f} s"
     )
--- a/tests/test_agaterail/test_admission.py
+++ b/tests/test_agaterail/test_admission.py
@@ -67,22 +67,22 @@
         # 90% of each prompt is cached, then the homes stop answering and hits
         # are unknown. If requests then counted as cold, each would be charged
         # ten times its cost and most would be refused.
-        share = admission.MissRatio()
-        self.assertEqual(share.value, admission.INITIAL_MISS_RATIO)
+        ratio = admission.MissRatio()
+        self.assertEqual(ratio.value, admission.INITIAL_MISS_RATIO)
         for _ in range(100):
-            share.update(100, 1000)
-        self.assertAlmostEqual(share.value, 0.1, delta=0.01)
+            ratio.update(100, 1000)
+        self.assertAlmostEqual(ratio.value, 0.1, delta=0.01)
 
 
 class CanMeetDeadlineTest(unittest.TestCase):
     def test_requests_that_miss_their_deadline_are_refused_lowest_priority_first(self):
-        def load(priority, expected_ms):
+        def request(priority, expected_ms):
             return AdmissionRequest("w", priority, 1.0, expected_ms, 1000.0)
 
-        self.assertFalse(admission.can_meet_deadline(load(9, 1001.0)))
-        self.assertTrue(admission.can_meet_deadline(load(9, 990.0)))
-        self.assertFalse(admission.can_meet_deadline(load(0, 600.0)))
-        self.assertTrue(admission.can_meet_deadline(load(0, None)))
+        self.assertFalse(admission.can_meet_deadline(request(9, 1001.0)))
+        self.assertTrue(admission.can_meet_deadline(request(9, 990.0)))
+        self.assertFalse(admission.can_meet_deadline(request(0, 600.0)))
+        self.assertTrue(admission.can_meet_deadline(request(0, None)))
 
 
 class CapacityTest(unittest.TestCase):
--- a/tests/test_agaterail/test_candidates.py
+++ b/tests/test_agaterail/test_candidates.py
@@ -18,9 +18,9 @@
 
 class SamplePrefixTest(unittest.TestCase):
     def test_short_prompts_send_every_key(self):
-        short = sample_prefix(prefix_of(30, 4))
-        self.assertTrue(short.exact)
-        self.assertEqual(split_keys(short.keys), list(range(1, 31)))
+        sample = sample_prefix(prefix_of(30, 4))
+        self.assertTrue(sample.exact)
+        self.assertEqual(split_keys(sample.keys), list(range(1, 31)))
 
     def test_long_prompts_fit_a_datagram(self):
         self.assertLess(len(sample_prefix(prefix_of(20_000, 4, 9000)).keys), 3000)
@@ -30,8 +30,8 @@
         prefix = prefix_of(blocks, blocks // 3)
         index = EngineIndex(0.0)
         index.on_contents(CacheContents("a", 0, prefix.keys[:cached]), 0.0, 0.0)
-        short = sample_prefix(prefix)
-        depth = index.lookup(split_keys(short.keys), short.depths, 0.0).depth
+        sample = sample_prefix(prefix)
+        depth = index.lookup(split_keys(sample.keys), sample.depths, 0.0).depth
         true = min(blocks, cached)
         self.assertLessEqual(depth, true)
         self.assertGreaterEqual(depth, true - true * 2 // MAX_EXACT_DEPTH - 1)
--- a/tests/test_agaterail/test_claims.py
+++ b/tests/test_agaterail/test_claims.py
@@ -295,9 +295,9 @@
             attempt, queue = f"x{number}", queues[daemon]
             queue.submit(claim(attempt, key))
             verdicts = self.append_and_read(log, queue)
-            wanted = reference.submit_claim(key, attempt)
-            self.assertEqual([item.kind for item in verdicts], [wanted])
-            if wanted is not WON or end == "leave":
+            expected = reference.submit_claim(key, attempt)
+            self.assertEqual([item.kind for item in verdicts], [expected])
+            if expected is not WON or end == "leave":
                 continue
             reference.end(key, attempt, end == "release")
             if end == "release":
--- a/tests/test_agaterail/test_fold.py
+++ b/tests/test_agaterail/test_fold.py
@@ -21,12 +21,12 @@
         self.assertEqual(folded.tables.routes["chat"].version, 7)
         self.assertEqual(folded.tables.through, 7)
 
-    def test_a_route_to_a_missing_pool_is_refused(self):
+    def test_a_route_to_a_missing_pool_is_rejected(self):
         folded = fold(Tables(), edit("e0", put(chat_route())), 0)
         self.assertIs(folded.verdict, Verdict.INVALID)
         self.assertEqual(folded.problems[0].field, "pool")
 
-    def test_deleting_a_pool_in_use_is_refused(self):
+    def test_deleting_a_pool_in_use_is_rejected(self):
         tables = first_tables()
         folded = fold(tables, edit("e1", delete(TableName.POOLS, "assistant", 0)), 1)
         self.assertIs(folded.verdict, Verdict.INVALID)
--- a/tests/test_agaterail/test_index.py
+++ b/tests/test_agaterail/test_index.py
@@ -198,8 +198,10 @@
         self.trusted, self.suspect = set(), set()
         self.incarnation, self.incarnation_known_at, self.sequence = "", 0.0, 0
 
-    def accepts(self, answer, asked_at):
-        return answer.incarnation == self.incarnation or asked_at >= self.incarnation_known_at
+    def accepts(self, answer, requested_at):
+        return (
+            answer.incarnation == self.incarnation or requested_at >= self.incarnation_known_at
+        )
 
     def reset(self, incarnation, now):
         if incarnation != self.incarnation:
@@ -212,8 +214,8 @@
         self.suspect |= self.trusted
         self.trusted = set()
 
-    def events(self, answer, asked_at, now):
-        if not self.accepts(answer, asked_at) or self.reset(answer.incarnation, now):
+    def events(self, answer, requested_at, now):
+        if not self.accepts(answer, requested_at) or self.reset(answer.incarnation, now):
             return
         for event in sorted(answer.events, key=lambda item: item.sequence):
             if event.sequence <= self.sequence:
@@ -232,8 +234,8 @@
             self.gap()
             self.sequence = answer.last_sequence
 
-    def contents(self, answer, asked_at, now):
-        if not self.accepts(answer, asked_at):
+    def contents(self, answer, requested_at, now):
+        if not self.accepts(answer, requested_at):
             return
         self.reset(answer.incarnation, now)
         if answer.sequence >= self.sequence:
@@ -316,15 +318,15 @@
     @precondition(lambda self: self.answers)
     @rule(data=st.data(), again=st.booleans())
     def deliver(self, data, again):
-        place = data.draw(st.integers(0, len(self.answers) - 1))
-        answer, asked_at = self.answers[place] if again else self.answers.pop(place)
+        position = data.draw(st.integers(0, len(self.answers) - 1))
+        answer, requested_at = self.answers[position] if again else self.answers.pop(position)
         self.now += 0.1
         if isinstance(answer, CacheEvents):
-            self.index.on_events(answer, asked_at, self.now)
-            self.reference.events(answer, asked_at, self.now)
+            self.index.on_events(answer, requested_at, self.now)
+            self.reference.events(answer, requested_at, self.now)
         else:
-            self.index.on_contents(answer, asked_at, self.now)
-            self.reference.contents(answer, asked_at, self.now)
+            self.index.on_contents(answer, requested_at, self.now)
+            self.reference.contents(answer, requested_at, self.now)
 
     @invariant()
     def agrees_with_the_reference_index(self):
--- a/tests/test_agaterail/test_leases.py
+++ b/tests/test_agaterail/test_leases.py
@@ -196,10 +196,10 @@
         numbers = itertools.count(int(self.now * 10) * 1000 + 1)
         self.candidates[name] = LeaseCandidate(f"{name}{self.now}", self.log, numbers)
 
-    @rule(kept=st.integers(0, 2))
-    def expire(self, kept):
+    @rule(retained=st.integers(0, 2))
+    def expire(self, retained):
         end = self.log.next_offset.get(LEASES_STREAM, 0)
-        self.log.expire(LEASES_STREAM, end - kept)
+        self.log.expire(LEASES_STREAM, end - retained)
 
     @invariant()
     def at_most_one_holds(self):
--- a/tests/test_agaterail/test_loads.py
+++ b/tests/test_agaterail/test_loads.py
@@ -17,25 +17,25 @@
         self.load.on_dispatch("old", 100, 6.0)
         self.load.on_dispatch("one", 100, 9.9)
         self.load.on_dispatch("two", 100, 9.9)
-        self.load.on_report(load_report(age_ms=5000.0), asked_at=10.0)
+        self.load.on_report(load_report(age_ms=5000.0), requested_at=10.0)
         self.assertAlmostEqual(self.load.queue_ms(10.0), 100.0)
         self.assertAlmostEqual(self.load.queue_ms(10.05), 50.0)
         self.assertEqual(self.load.queue_ms(11.0), 0.0)
 
     def test_a_report_covers_what_was_sent_before_the_moment_it_describes(self):
         self.load.on_dispatch("one", 400, 9.0)
-        self.load.on_report(load_report(waiting_prefill_tokens=300), asked_at=9.1)
+        self.load.on_report(load_report(waiting_prefill_tokens=300), requested_at=9.1)
         self.assertAlmostEqual(self.load.queue_ms(9.1), 300.0)
 
     def test_an_older_report_changes_nothing(self):
-        self.load.on_report(load_report(waiting_prefill_tokens=300), asked_at=9.0)
+        self.load.on_report(load_report(waiting_prefill_tokens=300), requested_at=9.0)
         late = load_report(age_ms=1000.0)
-        self.assertFalse(self.load.on_report(late, asked_at=9.0))
+        self.assertFalse(self.load.on_report(late, requested_at=9.0))
         self.assertAlmostEqual(self.load.queue_ms(9.0), 300.0)
 
     def test_dispatches_correct_a_report_that_never_changes(self):
         for second in range(10):
-            self.load.on_report(load_report(age_ms=second * 1e3), asked_at=100.0 + second)
+            self.load.on_report(load_report(age_ms=second * 1e3), requested_at=100.0 + second)
             self.load.on_dispatch(str(second), 1100, 100.0 + second)
         self.assertAlmostEqual(self.load.queue_ms(110.0), 1000.0)
 
@@ -45,9 +45,9 @@
         self.assertEqual((self.load.queue_ms(9.0), self.load.running), (0.0, {}))
 
     def test_a_restart_empties_the_queue(self):
-        self.load.on_report(load_report(), asked_at=8.0)
+        self.load.on_report(load_report(), requested_at=8.0)
         self.load.on_dispatch("one", 4000, 9.0)
-        self.load.on_report(load_report(incarnation="b"), asked_at=9.5)
+        self.load.on_report(load_report(incarnation="b"), requested_at=9.5)
         self.assertEqual(self.load.queue_ms(9.5), 0.0)
 
     def test_requests_whose_finish_was_lost_expire(self):
--- a/tests/test_agaterail/test_policies/test_cost.py
+++ b/tests/test_agaterail/test_policies/test_cost.py
@@ -27,9 +27,9 @@
 
 
 def make_states(*addresses, **fields):
-    book = TargetStateTable()
+    targets = TargetStateTable()
     pool = engine_pool(addresses or ADDRESSES)
-    found = book.usable(pool, 0.0)
+    found = targets.usable(pool, 0.0)
     for state in found:
         for name, value in fields.items():
             setattr(state, name, value)
@@ -101,8 +101,10 @@
         decision = self.choose()
         self.assertEqual(decision.address, self.three)
         self.assertIsNone(decision.expected_ms)
-        place_again = [entry.address for entry in self.policy.candidates(make_placement(), ())]
-        self.assertIn(self.three, place_again)
+        candidates_again = [
+            entry.address for entry in self.policy.candidates(make_placement(), ())
+        ]
+        self.assertIn(self.three, candidates_again)
 
     def test_every_decision_names_its_terms(self):
         names = [name for name, _ in self.choose(CandidateState(self.one)).terms]
--- a/tests/test_agaterail/test_rollout.py
+++ b/tests/test_agaterail/test_rollout.py
@@ -194,8 +194,8 @@
             sum(bool(engine.accepted_orders) for engine in daemons.engines.values()), 1
         )
 
-    def test_a_version_that_fails_the_check_is_rolled_back(self):
-        # The first engine loads the version but fails the check. It is rolled
+    def test_a_version_that_fails_the_probe_is_rolled_back(self):
+        # The first engine loads the version but fails the probe. It is rolled
         # back to the version in also_serve, and the rollout stays halted.
         daemons = Daemons()
         for engine in daemons.engines.values():
--- a/tests/test_agaterail/test_startup.py
+++ b/tests/test_agaterail/test_startup.py
@@ -21,13 +21,13 @@
     def test_a_log_older_than_the_peers_is_not_served(self):
         # The log returns stale data before any peer has answered. Serving it at
         # once could revert tables that this daemon served before its restart.
-        asked = self.plan.next_round(PEERS, 0.0)
+        queried = self.plan.next_round(PEERS, 0.0)
         self.plan.log.at_end = True
         self.assertIs(self.plan.decide(7, 0.01), Decision.WAIT)
-        self.plan.round.on_answer(asked[0], 9)
-        self.plan.round.on_answer(asked[1], 8)
+        self.plan.round.on_answer(queried[0], 9)
+        self.plan.round.on_answer(queried[1], 8)
         self.assertIs(self.plan.decide(7, 0.02), Decision.FETCH)
-        self.assertEqual(self.plan.round.best_peer, asked[0])
+        self.assertEqual(self.plan.round.best_peer, queried[0])
         self.assertIs(self.plan.decide(9, 0.03), Decision.SERVE)
 
     def test_stalled_peers_delay_startup_by_one_answer_wait(self):
@@ -37,8 +37,8 @@
         self.assertIs(self.plan.decide(7, ANSWER_WAIT_S), Decision.SERVE)
 
     def test_a_silent_log_delays_startup_by_the_log_wait(self):
-        asked = self.plan.next_round(PEERS, 0.0)
-        for address in asked:
+        queried = self.plan.next_round(PEERS, 0.0)
+        for address in queried:
             self.plan.round.on_answer(address, 5)
         self.assertIs(self.plan.decide(-1, LOG_WAIT_S / 2), Decision.WAIT)
         self.assertIs(self.plan.decide(-1, LOG_WAIT_S), Decision.FETCH)
@@ -47,18 +47,18 @@
         seen = set()
         now = 0.0
         for _ in range(len(PEERS) // 4):
-            asked = self.plan.next_round(PEERS, now)
-            self.assertFalse(seen & set(asked))
-            seen.update(asked)
-            for address in asked:
+            queried = self.plan.next_round(PEERS, now)
+            self.assertFalse(seen & set(queried))
+            seen.update(queried)
+            for address in queried:
                 self.plan.round.on_answer(address, -1)
             now += 2.0
         self.assertEqual(seen, set(PEERS))
 
     def test_a_failed_fetch_moves_on_to_the_next_peer(self):
-        asked = self.plan.next_round(PEERS, 0.0)
+        queried = self.plan.next_round(PEERS, 0.0)
         self.plan.log.failed = True
-        for address, through in zip(asked, (9, 8, 8, 8), strict=True):
+        for address, through in zip(queried, (9, 8, 8, 8), strict=True):
             self.plan.round.on_answer(address, through)
         self.plan.round.on_failure(self.plan.round.best_peer)
         self.assertIs(self.plan.decide(-1, 0.02), Decision.FETCH)
--- a/tests/test_agaterail/test_tables_reader.py
+++ b/tests/test_agaterail/test_tables_reader.py
@@ -124,7 +124,7 @@
         self.assertTrue(read_all(reader).gap)
         self.assertEqual(reader.tables.through, -1)
 
-    def test_damaged_chunks_are_refused(self):
+    def test_damaged_chunks_are_rejected(self):
         snapshot = snapshots.encode(self.reader.tables)
         damaged = (snapshot.chunks[0][:-1] + b"x",)
         decoded = snapshots.decode(snapshot.through, snapshot.digest, damaged)
--- a/tests/test_agaterail/test_transfers.py
+++ b/tests/test_agaterail/test_transfers.py
@@ -73,7 +73,7 @@
         self.assertEqual(self.due(2.0), [("a", KEYS[:3])])
         self.assertEqual(self.due(2.0 + MAX_EXPORT_AGE_S), [])
 
-    def test_a_kept_prefix_is_not_exported_again_soon(self):
+    def test_an_exported_prefix_is_not_exported_again_soon(self):
         self.use(KEYS[:3], 0.0)
         self.use(KEYS[:3], 0.0)
         self.queue.mark_exported(self.queue.due(1.0)[0], 1.0)
