--- a/agaterail/claims.py
+++ b/agaterail/claims.py
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Claim:
-    """Request of a daemon for the exclusive right to run a key's request.
+    """Asks for the exclusive right to run the request of an idempotency key.
 
     Attributes
     ----------
--- a/agaterail/loads.py
+++ b/agaterail/loads.py
@@ -88,7 +88,7 @@
         self.backlog_ms += missing_tokens * self.prefill_ms_per_token
 
     def on_finish(self, dispatch_id: str, ran: bool) -> None:
-        """Mark a request as finished; one that did not run leaves the queue too."""
+        """Remove a request from the running ones, and from the queue if it did not run."""
         self.running.pop(dispatch_id, None)
         if ran:
             return
--- a/tests/test_agaterail/test_admission.py
+++ b/tests/test_agaterail/test_admission.py
@@ -48,15 +48,15 @@
         self.assertGreater(counts[2], counts[0])
 
     def test_released_requests_leave_no_residue(self):
-        gate, rng, held = FairGate(), random.Random(3), []
+        gate, rng, admitted = FairGate(), random.Random(3), []
         for _ in range(2000):
-            if held and rng.random() < 0.5:
-                gate.release(*held.pop(rng.randrange(len(held))))
+            if admitted and rng.random() < 0.5:
+                gate.release(*admitted.pop(rng.randrange(len(admitted))))
             else:
                 item = (f"w{rng.randrange(5)}", rng.uniform(0.1, 99.0))
                 if gate.admit(*item, 1000.0, 1.0):
-                    held.append(item)
-        for item in held:
+                    admitted.append(item)
+        for item in admitted:
             gate.release(*item)
         self.assertAlmostEqual(gate.total_ms, 0.0, places=6)
         self.assertEqual(dict(gate.outstanding_ms), {})
--- a/tests/test_agaterail/test_controllers/test_drain.py
+++ b/tests/test_agaterail/test_controllers/test_drain.py
@@ -48,24 +48,24 @@
         self.app.timers.advance(seconds)
         self.drain.reconcile()
 
-    def ask(self):
+    def send_request(self):
         headers = {"authorization": "Bearer x"}
         exchange, result = self.app.handle("POST", "/x", "", headers, b"")
         exchange.finish(result.failure().outcome)
         return exchange, result.failure().kind.value
 
     def test_new_requests_are_served_until_the_lag_is_over(self):
-        self.assertNotIn("connection", self.ask()[0].answer_headers)
+        self.assertNotIn("connection", self.send_request()[0].answer_headers)
         self.drain.begin()
         self.assertFalse(self.app.ready)
         self.advance(4.9)
-        exchange, kind = self.ask()
+        exchange, kind = self.send_request()
         self.assertEqual(kind, "tables_unavailable")
         self.assertEqual(exchange.answer_headers["connection"], "close")
         self.assertFalse(self.closed)
         self.advance(0.2)
         self.assertTrue(self.closed)
-        self.assertEqual(self.ask()[1], "shutting_down")
+        self.assertEqual(self.send_request()[1], "shutting_down")
 
     def test_draining_waits_for_requests_and_their_records(self):
         # A request ends after the lag while the log is down, so its outcome is
@@ -117,12 +117,12 @@
     def test_each_refusal_in_a_row_doubles_the_pause(self):
         targets, pool, now = TargetStateTable(), engine_pool(["127.0.0.1:1"]), 0.0
         targets.usable(pool, now)
-        spans = []
+        pauses = []
         for _ in range(6):
             targets.mark_refusing("127.0.0.1:1", now)
-            spans.append(targets.states["127.0.0.1:1"].refusing_until - now)
+            pauses.append(targets.states["127.0.0.1:1"].refusing_until - now)
             now = targets.states["127.0.0.1:1"].refusing_until
-        self.assertEqual(spans, [1.0, 2.0, 4.0, 8.0, 8.0, 8.0])
+        self.assertEqual(pauses, [1.0, 2.0, 4.0, 8.0, 8.0, 8.0])
         targets.mark_serving("127.0.0.1:1")
         targets.mark_refusing("127.0.0.1:1", now)
         self.assertEqual(targets.states["127.0.0.1:1"].refusing_until, now + 1.0)
--- a/tests/test_agaterail/test_transfers.py
+++ b/tests/test_agaterail/test_transfers.py
@@ -15,21 +15,21 @@
 KEYS = tuple(bytes([number]) for number in range(6))
 
 
-class PlanTest(unittest.TestCase):
-    def plan(self, depth, held, import_ms=10.0, prefill_ms=50.0):
-        return plan_import(Source("store", depth), held, import_ms, prefill_ms)
+class PlanImportTest(unittest.TestCase):
+    def plan(self, depth, cached_blocks, import_ms=10.0, prefill_ms=50.0):
+        return plan_import(Source("store", depth), cached_blocks, import_ms, prefill_ms)
 
     def test_only_missing_blocks_are_copied(self):
-        transfer = self.plan(depth=8, held=3)
+        transfer = self.plan(depth=8, cached_blocks=3)
         self.assertEqual((transfer.start, transfer.end), (3, 8))
         self.assertEqual((transfer.transfer_ms, transfer.saved_ms), (50.0, 250.0))
 
     def test_a_copy_that_saves_little_or_nothing_is_not_planned(self):
-        self.assertIsNone(self.plan(depth=3, held=3))
-        self.assertIsNone(self.plan(depth=2, held=5))
-        self.assertIsNone(self.plan(depth=8, held=3, import_ms=50.0))
-        self.assertIsNone(self.plan(depth=8, held=3, import_ms=0.0))
-        self.assertIsNone(self.plan(depth=1, held=0, import_ms=45.0))
+        self.assertIsNone(self.plan(depth=3, cached_blocks=3))
+        self.assertIsNone(self.plan(depth=2, cached_blocks=5))
+        self.assertIsNone(self.plan(depth=8, cached_blocks=3, import_ms=50.0))
+        self.assertIsNone(self.plan(depth=8, cached_blocks=3, import_ms=0.0))
+        self.assertIsNone(self.plan(depth=1, cached_blocks=0, import_ms=45.0))
 
 
 class ImportLimitsTest(unittest.TestCase):
