--- a/tests/test_agaterail/test_admission.py
+++ b/tests/test_agaterail/test_admission.py
@@ -48,15 +48,15 @@
         self.assertGreater(counts[2], counts[0])
 
     def test_released_requests_leave_no_residue(self):
-        gate, rng, held = FairGate(), random.Random(3), []
+        gate, rng, admitted = FairGate(), random.Random(3), []
         for _ in range(2000):
-            if held and rng.random() < 0.5:
-                gate.release(*held.pop(rng.randrange(len(held))))
+            if admitted and rng.random() < 0.5:
+                gate.release(*admitted.pop(rng.randrange(len(admitted))))
             else:
                 item = (f"w{rng.randrange(5)}", rng.uniform(0.1, 99.0))
                 if gate.admit(*item, 1000.0, 1.0):
-                    held.append(item)
-        for item in held:
+                    admitted.append(item)
+        for item in admitted:
             gate.release(*item)
         self.assertAlmostEqual(gate.total_ms, 0.0, places=6)
         self.assertEqual(dict(gate.outstanding_ms), {})
@@ -67,22 +67,22 @@
         # 90% of each prompt is cached, then the homes stop answering and hits
         # are unknown. If requests then counted as cold, each would be charged
         # ten times its cost and most would be refused.
-        share = admission.MissRatio()
-        self.assertEqual(share.value, admission.INITIAL_MISS_RATIO)
+        ratio = admission.MissRatio()
+        self.assertEqual(ratio.value, admission.INITIAL_MISS_RATIO)
         for _ in range(100):
-            share.update(100, 1000)
-        self.assertAlmostEqual(share.value, 0.1, delta=0.01)
+            ratio.update(100, 1000)
+        self.assertAlmostEqual(ratio.value, 0.1, delta=0.01)
 
 
 class CanMeetDeadlineTest(unittest.TestCase):
     def test_requests_that_miss_their_deadline_are_refused_lowest_priority_first(self):
-        def load(priority, expected_ms):
+        def request(priority, expected_ms):
             return AdmissionRequest("w", priority, 1.0, expected_ms, 1000.0)
 
-        self.assertFalse(admission.can_meet_deadline(load(9, 1001.0)))
-        self.assertTrue(admission.can_meet_deadline(load(9, 990.0)))
-        self.assertFalse(admission.can_meet_deadline(load(0, 600.0)))
-        self.assertTrue(admission.can_meet_deadline(load(0, None)))
+        self.assertFalse(admission.can_meet_deadline(request(9, 1001.0)))
+        self.assertTrue(admission.can_meet_deadline(request(9, 990.0)))
+        self.assertFalse(admission.can_meet_deadline(request(0, 600.0)))
+        self.assertTrue(admission.can_meet_deadline(request(0, None)))
 
 
 class CapacityTest(unittest.TestCase):
