--- a/agaterail/application.py
+++ b/agaterail/application.py
@@ -166,7 +166,7 @@
         logger.info("Controllers started.", count=len(self.controllers))
 
     def stop(self) -> None:
-        """Stop the controllers and receiving peer messages."""
+        """Stop the controllers and stop receiving peer messages."""
         for subscription in self.subscriptions:
             subscription.cancel()
         self.peers.stop()
@@ -206,7 +206,7 @@
         return exchange, result
 
     def policy_of(self, pool: Pool) -> Policy:
-        """Return the policy that a pool names, or the default if that is unknown."""
+        """Return the policy named by a pool, or the default policy if it does not exist."""
         return self.policies.get(pool.policy) or self.policies[DEFAULT_POLICY]
 
     def engine_at(self, address: str) -> Engine:
--- a/agaterail/filters/claim.py
+++ b/agaterail/filters/claim.py
@@ -46,7 +46,7 @@
         self.controller = controller
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Run the request if its claim wins, or answer with what is known of its key."""
+        """Run the request if its claim is the first, or answer from the earlier claim."""
         if not exchange.at_most_once:
             return proceed(exchange)
         if exchange.watch is not None:
--- a/agaterail/filters/limits.py
+++ b/agaterail/filters/limits.py
@@ -108,7 +108,7 @@
         app.events.subscribe(MembersChanged, self._on_members)
 
     def handle(self, exchange: Exchange, proceed: Proceed) -> Result[Reply, errors.Failure]:
-        """Reject a request that would wait too long, or count it until its first token."""
+        """Reject a request that would wait too long; count others until their first token."""
         pool, route, request = exchange.pool, exchange.route, self._admission_request(exchange)
         assert pool is not None and route is not None
         if request is None:
--- a/agaterail/filters/retry.py
+++ b/agaterail/filters/retry.py
@@ -112,7 +112,7 @@
             return False
         if exchange.at_most_once and failure.outcome is not Outcome.NOT_RUN:
             # A target may have acted on the first attempt; a retry could perform the
-            # action twice, such as book the same swap again.
+            # action twice, for example book the same swap again.
             return False
         if self.timers.now() >= exchange.deadline_at:
             return False
--- a/agaterail/metrics.py
+++ b/agaterail/metrics.py
@@ -54,33 +54,52 @@
 _COUNTER, _GAUGE, _TIMING = MetricKind.COUNTER, MetricKind.GAUGE, MetricKind.TIMING
 
 METRICS = (
-    Metric("requests.{}", _COUNTER, "requests", "Requests by what became of them.", Outcome),
-    Metric("errors.{}", _COUNTER, "requests", "Requests that got an error.", ErrorKind),
-    Metric("attempts", _COUNTER, "attempts", "Targets asked, retries included."),
+    Metric("requests.{}", _COUNTER, "requests", "Finished requests, by outcome.", Outcome),
     Metric(
-        "wasted.{}", _COUNTER, "runs", "Runs at engines of no use to a caller.", WasteReason
+        "errors.{}",
+        _COUNTER,
+        "requests",
+        "Requests answered with an error, by kind.",
+        ErrorKind,
     ),
-    Metric("wasted_events", _COUNTER, "events", "Token events of such runs."),
-    Metric("cancels", _COUNTER, "runs", "Runs that engines were told to stop."),
-    Metric("cancels_failed", _COUNTER, "runs", "Of these, without an answer."),
-    Metric("resumes.same", _COUNTER, "streams", "Streams resumed on their engine."),
-    Metric("resumes.elsewhere", _COUNTER, "streams", "Streams run anew on another engine."),
+    Metric("attempts", _COUNTER, "attempts", "Attempts at targets, including retries."),
+    Metric(
+        "wasted.{}",
+        _COUNTER,
+        "runs",
+        "Runs at engines whose work was wasted, by reason.",
+        WasteReason,
+    ),
+    Metric("wasted_events", _COUNTER, "events", "Token events received from wasted runs."),
+    Metric("cancels", _COUNTER, "runs", "Runs that engines were asked to cancel."),
+    Metric("cancels_failed", _COUNTER, "runs", "Cancel requests that failed."),
+    Metric("resumes.same", _COUNTER, "streams", "Streams resumed on the same engine."),
+    Metric("resumes.elsewhere", _COUNTER, "streams", "Streams rerun on another engine."),
     Metric("prompt_tokens", _COUNTER, "tokens", "Prompt tokens of routed completions."),
     Metric(
-        "expected_hit_tokens", _COUNTER, "tokens", "Of these, expected in the engine's cache."
+        "expected_hit_tokens",
+        _COUNTER,
+        "tokens",
+        "Prompt tokens expected in the cache of the chosen engine.",
     ),
     Metric(
-        "transfers.imported_blocks", _COUNTER, "blocks", "Blocks imported from the kept store."
+        "transfers.imported_blocks", _COUNTER, "blocks", "Blocks imported from the KV store."
     ),
-    Metric("first_part", _TIMING, "ms", "From arrival to the first part of the answer."),
-    Metric("request", _TIMING, "ms", "From arrival to the end of the answer."),
+    Metric("first_part", _TIMING, "ms", "Time from arrival to the start of the answer."),
+    Metric("request", _TIMING, "ms", "Time from arrival to the end of the answer."),
     Metric("in_flight", _GAUGE, "requests", "Requests in flight on this daemon."),
-    Metric("ready", _GAUGE, "0 or 1", "Whether the balancer should send new connections."),
-    Metric("members", _GAUGE, "daemons", "Live daemons that this one knows."),
-    Metric("peers.messages", _GAUGE, "messages", "Messages to peers since the start."),
-    Metric("peers.bytes", _GAUGE, "bytes", "Bytes to peers since the start."),
-    Metric("tables.through", _GAUGE, "offset", "Offset of the tables in force."),
-    Metric("tables.{}", _COUNTER, "records", "Records of the tables, as judged.", Verdict),
+    Metric(
+        "ready", _GAUGE, "0 or 1", "Whether the load balancer should send new connections."
+    ),
+    Metric("members", _GAUGE, "daemons", "Live daemons known to this daemon."),
+    Metric("peers.messages", _GAUGE, "messages", "Messages sent to peers since the start."),
+    Metric("peers.bytes", _GAUGE, "bytes", "Bytes sent to peers since the start."),
+    Metric(
+        "tables.through", _GAUGE, "offset", "Last log offset included in the tables in force."
+    ),
+    Metric(
+        "tables.{}", _COUNTER, "records", "Records of the tables log, by verdict.", Verdict
+    ),
     Metric("tables.snapshots", _COUNTER, "records", "Snapshots written by this daemon."),
 )
 
--- a/tests/test_agaterail/test_filters/test_hedge.py
+++ b/tests/test_agaterail/test_filters/test_hedge.py
@@ -41,7 +41,7 @@
         self.assertTrue(all(job.get()[0].status_code == 200 for job in jobs))
         self.assertLessEqual(self.counter("wasted.hedged"), 3)
 
-    def test_the_answer_is_that_of_the_run_that_won(self):
+    def test_the_answer_comes_from_the_winning_run(self):
         self.preferred.faults.paused = True
         response, body = self.daemon.chat(max_tokens=2)
         self.preferred.faults.paused = False
--- a/tests/test_standins/test_load.py
+++ b/tests/test_standins/test_load.py
@@ -14,7 +14,7 @@
     return b"data: " + json.dumps({"choices": [choice]}).encode() + b"\n\n"
 
 
-def judged(*frames, max_tokens=3):
+def checked(*frames, max_tokens=3):
     result = StreamResult()
     _check_stream(result, b"".join(frames), max_tokens)
     return result
@@ -22,7 +22,7 @@
 
 class CheckStreamTest(unittest.TestCase):
     def test_complete_stream_in_order_passes(self):
-        self.assertTrue(judged(token(0), token(1), token(2), DONE).whole)
+        self.assertTrue(checked(token(0), token(1), token(2), DONE).whole)
 
     def test_missing_repeated_and_foreign_tokens_are_detected(self):
         for frames in (
@@ -31,10 +31,10 @@
             (token(0), token(1, "b"), token(2), DONE),
             (token(0), token(1), token(2)),
         ):
-            self.assertFalse(judged(*frames).whole)
+            self.assertFalse(checked(*frames).whole)
 
     def test_error_event_is_distinguished_from_cut_stream(self):
         # Both streams end without the final frame, but only the error event tells
         # the caller that the answer is incomplete and why.
-        self.assertIn("target_lost", judged(token(0), ERROR).error)
-        self.assertEqual(judged(token(0)).error, "no final frame")
+        self.assertIn("target_lost", checked(token(0), ERROR).error)
+        self.assertEqual(checked(token(0)).error, "no final frame")
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -54,9 +54,9 @@
     Parameters
     ----------
     host, first_port
-        IP address and first port of engines and daemons, for runs that need
-        the same addresses every time because placement hashes them. By
-        default, free ports are used.
+        IP address of engines and daemons, and the port after which their ports
+        start, for runs that need the same addresses every time because
+        placement hashes them. By default, free ports are used.
     """
 
     def __init__(
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -93,7 +93,7 @@
         try:
             self.sock = connect((host, int(port)))
         except OSError:
-            return False  # the gateway is not listening; the next request picks one anew
+            return False  # not listening; the next request chooses a gateway again
         return True
 
     def _disconnect(self) -> None:
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -71,7 +71,7 @@
         if not self.in_rounds:
             return self.random.choice(self.kinds)
         if not self.pending_kinds:
-            kinds = [*self.kinds, self.kill_giver_of_orders]
+            kinds = [*self.kinds, self.kill_order_lease_holder]
             self.pending_kinds = self.random.sample(kinds, len(kinds))
         return self.pending_kinds.pop()
 
@@ -80,7 +80,7 @@
         gateway = self.random.choice(self.testbed.gateways)
         self._kill(gateway)
 
-    def kill_giver_of_orders(self) -> None:
+    def kill_order_lease_holder(self) -> None:
         """Kill the gateway that sent the last order while engines still need orders."""
         testbed = self.testbed
         testbed.announce_weights()
@@ -136,7 +136,7 @@
         """Revoke a key while the store is unreachable for longer than keys stay valid."""
         if "k1" not in self.testbed.keys:
             return
-        with _FaultRecorder(self, "store cut, key taken"):
+        with _FaultRecorder(self, "store cut, key revoked"):
             self.testbed.store_proxy.set_mode(Mode.SILENT)
             self.testbed.revoke("k1")
             gevent.sleep(REVOKE_S + self.random.uniform(0.5, 2.0))
