--- a/agaterail/sse.py
+++ b/agaterail/sse.py
@@ -58,7 +58,7 @@
         Nothing more is returned after a missing frame, because a caller must not get a
         stream with a gap.
         """
-        whole, separator, self.partial = (self.partial + data).rpartition(SEPARATOR)
+        complete, separator, self.partial = (self.partial + data).rpartition(SEPARATOR)
         # Without this limit, an unterminated frame would be buffered for as long as it
         # grows.
         self.broken = self.broken or len(self.partial) > MAX_FRAME_BYTES
@@ -66,7 +66,7 @@
             return b""
         replayed: list[bytes] = []
         new: list[bytes] = []
-        for frame in whole.split(SEPARATOR):
+        for frame in complete.split(SEPARATOR):
             if self._accept_frame(frame):
                 (replayed if self.position <= self.replay_until else new).append(frame)
             if self.broken:
--- a/standins/load.py
+++ b/standins/load.py
@@ -31,12 +31,12 @@
 
     Attributes
     ----------
-    whole
+    complete
         Every token arrived exactly once and in order, followed by the final frame.
     """
 
     status: int = 0
-    whole: bool = False
+    complete: bool = False
     tokens: int = 0
     first_token_ms: float = 0.0
     total_ms: float = 0.0
@@ -180,6 +180,6 @@
             answer_ids.add(answer_id)
             numbers.append(int(number))
     result.tokens = len(numbers)
-    result.whole = numbers == list(range(max_tokens)) and len(answer_ids) == 1
-    if not result.whole:
+    result.complete = numbers == list(range(max_tokens)) and len(answer_ids) == 1
+    if not result.complete:
         result.error = f"tokens out of order: {numbers[:10]}"
--- a/tests/test_agaterail/test_controllers/test_drain.py
+++ b/tests/test_agaterail/test_controllers/test_drain.py
@@ -154,6 +154,6 @@
                 if number == 5:
                     daemon.process.send_signal(signal.SIGTERM)
             gevent.joinall(jobs)
-            wrong = [job.get() for job in jobs if not job.get().whole]
+            wrong = [job.get() for job in jobs if not job.get().complete]
             self.assertEqual(wrong, [], json.dumps([item.error for item in wrong]))
             self.assertEqual(daemon.process.wait(5), 0)
--- a/tests/test_standins/test_load.py
+++ b/tests/test_standins/test_load.py
@@ -22,7 +22,7 @@
 
 class CheckStreamTest(unittest.TestCase):
     def test_complete_stream_in_order_passes(self):
-        self.assertTrue(checked(token(0), token(1), token(2), DONE).whole)
+        self.assertTrue(checked(token(0), token(1), token(2), DONE).complete)
 
     def test_missing_repeated_and_foreign_tokens_are_detected(self):
         for frames in (
@@ -31,7 +31,7 @@
             (token(0), token(1, "b"), token(2), DONE),
             (token(0), token(1), token(2)),
         ):
-            self.assertFalse(checked(*frames).whole)
+            self.assertFalse(checked(*frames).complete)
 
     def test_error_event_is_distinguished_from_cut_stream(self):
         # Both streams end without the final frame, but only the error event tells
--- a/tools/bench/cell.py
+++ b/tools/bench/cell.py
@@ -250,7 +250,7 @@
         ]
         busy = [tokens * PREFILL_MS_PER_TOKEN / 1e3 / self.cell.seconds for tokens in computed]
         deadline = float(self.profile.deadline_ms)
-        first = sorted(item.first_token_ms if item.whole else deadline for item in seen)
+        first = sorted(item.first_token_ms if item.complete else deadline for item in seen)
         late = sorted(self.lateness)
         return Figures(
             requests=len(seen),
@@ -262,9 +262,9 @@
                 for old, new in zip(before, after, strict=True)
             ),
             first_token_ms=tuple(round(value, 1) for value in first),
-            not_whole=sum(not item.whole for item in seen),
-            errors=collections.Counter(_error_of(item) for item in seen if not item.whole),
-            reasons=collections.Counter(item.reason for item in seen if item.whole),
+            not_whole=sum(not item.complete for item in seen),
+            errors=collections.Counter(_error_of(item) for item in seen if not item.complete),
+            reasons=collections.Counter(item.reason for item in seen if item.complete),
             late_hit_rate=0.0,
             busiest=max(busy),
             mean_busy=sum(busy) / len(busy),
@@ -314,8 +314,8 @@
 
 
 def _hit_rate_of(seen: Sequence[StreamResult]) -> float:
-    prompt = sum(item.prompt_tokens for item in seen if item.whole)
-    return sum(item.cached_tokens for item in seen if item.whole) / max(1, prompt)
+    prompt = sum(item.prompt_tokens for item in seen if item.complete)
+    return sum(item.cached_tokens for item in seen if item.complete) / max(1, prompt)
 
 
 def _error_of(seen: StreamResult) -> str:
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -38,7 +38,7 @@
         fleet.start_daemons(DAEMONS, DAEMON_FLAGS)
         results = _send_requests(fleet)
     _print_results(results, time.monotonic() - started)
-    sys.exit(0 if all(item.whole for item in results) else 1)
+    sys.exit(0 if all(item.complete for item in results) else 1)
 
 
 def _send_requests(fleet: Fleet) -> list[StreamResult]:
@@ -59,18 +59,18 @@
 
 def _print_results(results: list[StreamResult], seconds: float) -> None:
     for number, item in enumerate(results):
-        state = "whole" if item.whole else f"FAILED {item.error[:100]}"
+        state = "whole" if item.complete else f"FAILED {item.error[:100]}"
         print(
             f"request {number:3d}: {state}, {item.tokens} tokens, "
             f"first token {item.first_token_ms:.0f} ms, cached {item.cached_tokens}/"
             f"{item.prompt_tokens}, target {item.target}, reason {item.reason}"
         )
-    whole = [item for item in results if item.whole]
-    prompt_tokens = sum(item.prompt_tokens for item in whole)
-    hit_rate = sum(item.cached_tokens for item in whole) / max(1, prompt_tokens)
-    first = sorted(item.first_token_ms for item in whole) or [0.0]
+    complete = [item for item in results if item.complete]
+    prompt_tokens = sum(item.prompt_tokens for item in complete)
+    hit_rate = sum(item.cached_tokens for item in complete) / max(1, prompt_tokens)
+    first = sorted(item.first_token_ms for item in complete) or [0.0]
     reasons = collections.Counter(item.reason for item in results)
-    print(f"whole streams: {len(whole)} of {len(results)}")
+    print(f"whole streams: {len(complete)} of {len(results)}")
     print(f"prefix hit rate: {hit_rate:.3f}")
     for quantile in (0.5, 0.95, 0.99):
         print(f"first token p{quantile * 100:.0f}: {first[int(len(first) * quantile)]:.0f} ms")
--- a/tools/measure_drain.py
+++ b/tools/measure_drain.py
@@ -76,8 +76,8 @@
     gevent.joinall(jobs)
     status = draining.process.wait(30)
     for kind, streams in seen.items():
-        whole = sum(item.whole for item in streams)
-        errors = {item.error[:80] for item in streams if not item.whole}
+        whole = sum(item.complete for item in streams)
+        errors = {item.error[:80] for item in streams if not item.complete}
         print(f"{kind}: {len(streams)} streams, {whole} whole, errors {sorted(errors)}")
     late = _executions(leaving) - (in_time or 0)
     print(f"leaving target: {late} new requests later than {LEAVE_BOUND_S:g} s")
--- a/tools/measure_startup.py
+++ b/tools/measure_startup.py
@@ -169,7 +169,7 @@
     while True:
         asked = time.monotonic()
         seen = client.ask(prompt)
-        if seen.whole:
+        if seen.complete:
             return asked - opened + seen.first_token_ms / 1e3
         if time.monotonic() - opened > 20:
             raise RuntimeError("no request was served in 20 s")
--- a/tools/overhead.py
+++ b/tools/overhead.py
@@ -102,7 +102,7 @@
         added = _quantile(routed, part) - _quantile(direct, part)
         print(f"added first token p{part * 100:.0f}: {added:.2f} ms")
     print(f"daemon CPU: {cpu_s / len(routed) * 1e3:.2f} ms a request")
-    return sum(not item.whole for item in (*direct, *routed))
+    return sum(not item.complete for item in (*direct, *routed))
 
 
 def _send_turn(
@@ -184,7 +184,7 @@
 
 
 def _described(seen: list[StreamResult]) -> str:
-    whole = sum(item.whole for item in seen)
+    whole = sum(item.complete for item in seen)
     quantiles = ", ".join(f"p{q * 100:.0f} {_quantile(seen, q):.2f} ms" for q in (0.5, 0.99))
     return f"{quantiles}, whole {whole} of {len(seen)}"
 
--- a/tools/overload.py
+++ b/tools/overload.py
@@ -187,17 +187,17 @@
     good = [
         item
         for item in results
-        if item.stream.whole and item.stream.first_token_ms <= DEADLINE_MS
+        if item.stream.complete and item.stream.first_token_ms <= DEADLINE_MS
     ]
     refused = [item for item in results if item.stream.outcome == "not_run"]
     small = [item for item in results if item.workspace != LARGE_WORKSPACE]
-    first = [item.stream.first_token_ms for item in small if item.stream.whole]
+    first = [item.stream.first_token_ms for item in small if item.stream.complete]
     return Phase(
         name=name,
         offered=len(results),
         goodput=len(good) / seconds,
         refused=len(refused),
-        failed=len(results) - len(refused) - sum(item.stream.whole for item in results),
+        failed=len(results) - len(refused) - sum(item.stream.complete for item in results),
         untrue=sum(item.stream.request_id in ran for item in refused),
         small_p95_ms=_percentile(first),
         small_refused=sum(item.stream.outcome == "not_run" for item in small),
