--- a/tools/measure_drain.py
+++ b/tools/measure_drain.py
@@ -76,8 +76,8 @@
     gevent.joinall(jobs)
     status = draining.process.wait(30)
     for kind, streams in seen.items():
-        whole = sum(item.whole for item in streams)
-        errors = {item.error[:80] for item in streams if not item.whole}
+        whole = sum(item.complete for item in streams)
+        errors = {item.error[:80] for item in streams if not item.complete}
         print(f"{kind}: {len(streams)} streams, {whole} whole, errors {sorted(errors)}")
     late_executions = _execution_count(leaving) - (executions_at_bound or 0)
     print(f"leaving target: {late_executions} new requests later than {LEAVE_BOUND_S:g} s")
--- a/tools/measure_startup.py
+++ b/tools/measure_startup.py
@@ -189,7 +189,7 @@
     while True:
         sent_at = time.monotonic()
         seen = client.ask(prompt)
-        if seen.whole:
+        if seen.complete:
             return sent_at - opened + seen.first_token_ms / 1e3
         if time.monotonic() - opened > 20:
             raise RuntimeError("no request was served within 20 s after the port opened")
