--- a/agaterail/gateway/attempt.py
+++ b/agaterail/gateway/attempt.py
@@ -55,7 +55,7 @@
         self.has_events = False
         self.last_event_at = 0.0
         self.is_open = True
-        self.waiting: PendingPrompt | None = None
+        self.pending_prompt: PendingPrompt | None = None
         self.target.in_flight += 1
         self._begin_prefill()
 
@@ -152,7 +152,7 @@
         if self._end():
             if healthy:
                 self.target.note_success()
-            self.daemon.channels.release(self.target, self.connection)
+            self.daemon.connection_pool.release(self.target, self.connection)
 
     def abandon(self) -> None:
         """Close the connection at once, so that the target stops working."""
@@ -170,14 +170,14 @@
         context = self.context
         if context.route.prompted:
             shedder = self.daemon.shedder_of(context.service)
-            self.waiting = shedder.begin(context.route.objective_s, self.daemon.now())
+            self.pending_prompt = shedder.begin(context.route.objective_s, self.daemon.now())
             self.target.prefill_tokens += context.inbound.prompt_tokens
 
     def _end_prefill(self, first_token: bool = False) -> None:
-        waiting, self.waiting = self.waiting, None
-        if waiting is not None:
+        pending, self.pending_prompt = self.pending_prompt, None
+        if pending is not None:
             shedder = self.daemon.shedder_of(self.context.service)
-            shedder.end(waiting, self.daemon.now(), first_token)
+            shedder.end(pending, self.daemon.now(), first_token)
             self.target.prefill_tokens -= self.context.inbound.prompt_tokens
 
     def _record_weights(self, head: AnswerHead) -> None:
--- a/agaterail/gateway/daemon.py
+++ b/agaterail/gateway/daemon.py
@@ -80,15 +80,15 @@
         self.freshness = Freshness(
             bound_s=bounds.revoke_s or float("inf"), denial_bound_s=bounds.config_s
         )
-        self.book = TargetRegistry(LAPSE_GRACE_S)
+        self.registry = TargetRegistry(LAPSE_GRACE_S)
         self.state = GatewayState(
-            self.freshness, self.book, bounds.version_s, bounds.clock_skew_s
+            self.freshness, self.registry, bounds.version_s, bounds.clock_skew_s
         )
         self.budget = RetryBudget(bounds.retries)
         self.demand = Demand()
         self.shedders: dict[str, LoadShedder] = {}
-        self.channels = ConnectionPool(requests.decode_answer_head, self.now)
-        self.book.on_gone = self.channels.drop
+        self.connection_pool = ConnectionPool(requests.decode_answer_head, self.now)
+        self.registry.on_gone = self.connection_pool.drop
         self.rules = PlacementRules(domain=settings.domain, version_s=bounds.version_s)
         self.encode = requests.encode_attempt
         self.stopping = False
@@ -97,13 +97,13 @@
         self.membership = MembershipController(self)
         self.weights = WeightsController(self)
         self.feeds = FeedHub(self)
-        self.kept = KvSaveController(
+        self.kv_saves = KvSaveController(
             cache_feed,
             str(self.feeds.peer_responder.server.address),
             lambda: self.feeds.readers,
             self.now,
         )
-        self.feeds.peer_responder.handlers[kvsavecontroller.PATH] = self.kept.answer
+        self.feeds.peer_responder.handlers[kvsavecontroller.PATH] = self.kv_saves.answer
         self.readiness = make_readiness_server(
             settings.ready_listen, names.READY_PATH, lambda: self.ready, self.now
         )
@@ -111,7 +111,9 @@
         self.greenlets = Group()
         self.subscriptions: list[Subscription] = []
         handler = RequestHandler(self)
-        self.front = HttpServer(settings.caller_listen, handler.handle, self._limits, self.now)
+        self.caller_server = HttpServer(
+            settings.caller_listen, handler.handle, self._limits, self.now
+        )
 
     @property
     def ready(self) -> bool:
@@ -127,13 +129,13 @@
             self.timers.every(HOUSEKEEPING_PERIOD_S, self.housekeep),
         ]
         self.readiness.start()
-        self.front.start()
+        self.caller_server.start()
 
     def close(self) -> None:
         """Stop everything at once without draining, like the exit of the process."""
         for subscription in self.subscriptions:
             subscription.cancel()
-        for server in (self.front, self.readiness, self.feeds.peer_responder.server):
+        for server in (self.caller_server, self.readiness, self.feeds.peer_responder.server):
             server.close()
         self.greenlets.kill(block=False)
 
@@ -148,12 +150,12 @@
 
     def housekeep(self) -> None:
         """Remove expired targets and close stale connections."""
-        for target in self.book.expire(self.now()):
+        for target in self.registry.expire(self.now()):
             logger.info("Target expired.", target=target.instance)
         self.state.log_staleness(self.now())
-        self.channels.close_stale()
+        self.connection_pool.close_stale()
         stores = [spec.address for spec in self._kv_stores()]
-        self.kept.set_stores(stores, self.greenlets.spawn)
+        self.kv_saves.set_stores(stores, self.greenlets.spawn)
 
     def set_fleet_size(self, daemons: float) -> None:
         """Set the number of daemons that share the targets."""
@@ -161,7 +163,7 @@
 
     def choose(self, context: RequestContext, now: float) -> Choice | None:
         """Return the next target for a request."""
-        targets = self.book.of_service(context.service)
+        targets = self.registry.of_service(context.service)
         tried = context.retry_state.tried
         if not context.route.prompted:
             return placement.choose_least_loaded(targets, tried, self.rules, now)
@@ -172,7 +174,7 @@
         """Return the expected wait for a first token at the chosen target."""
         if not context.route.prompted:
             return 0.0
-        engines = self.book.of_service(context.service)
+        engines = self.registry.of_service(context.service)
         return admission.expected_wait_s(choice.target, engines, self.rules.daemons)
 
     def shedder_of(self, service: str) -> LoadShedder:
@@ -181,10 +183,10 @@
             self.shedders[service] = LoadShedder(service, self.now())
         return self.shedders[service]
 
-    def cache_terms(self, context: RequestContext, choice: Choice) -> CacheDirectives:
+    def cache_directives(self, context: RequestContext, choice: Choice) -> CacheDirectives:
         """Return the cache instructions for the engine; may query a peer."""
         return cachedirectives.cache_directives(
-            context, choice, self._kv_stores(), self.kept.should_save
+            context, choice, self._kv_stores(), self.kv_saves.should_save
         )
 
     def _kv_stores(self) -> tuple[KvStoreSpec, ...]:
--- a/agaterail/gateway/directfollower.py
+++ b/agaterail/gateway/directfollower.py
@@ -78,7 +78,7 @@
             self.failures = 0
             hub.poller.selector.reset()
             if self.feed is Feed.TARGETS:
-                daemon.book.store_returned(daemon.now())
+                daemon.registry.store_returned(daemon.now())
         found = answer.unwrap()
         now = self.answered_at = daemon.now()
         self.behind = found.end > found.next_offset
--- a/agaterail/gateway/feedhub.py
+++ b/agaterail/gateway/feedhub.py
@@ -112,7 +112,7 @@
 
     def _detect_outage(self, reading: Reading) -> None:
         if reading.read_at - self.read_at[Feed.TARGETS] > OUTAGE_THRESHOLD_S:
-            self.daemon.book.store_returned(self.daemon.now())
+            self.daemon.registry.store_returned(self.daemon.now())
 
     def _share_with_peers(self, feed: Feed, reading: Reading) -> None:
         """Offer records to peers before they are decoded here."""
--- a/agaterail/gateway/gracefulstop.py
+++ b/agaterail/gateway/gracefulstop.py
@@ -37,21 +37,21 @@
         daemon = self.daemon
         started_at = daemon.now()
         daemon.stopping = True
-        daemon.front.begin_stop()
-        logger.info("Stopping.", busy=daemon.front.active_requests)
+        daemon.caller_server.begin_stop()
+        logger.info("Stopping.", busy=daemon.caller_server.active_requests)
         gevent.spawn(self._leave_fleet)
         deadline = started_at + daemon.settings.bounds.grace_s - KILL_MARGIN_S
         lag = min(BALANCER_LAG_S, daemon.settings.bounds.grace_s / 2.0)
         gevent.sleep(lag)
-        daemon.front.close_idle()
-        daemon.front.stop_accepting()
-        while daemon.front.connections and daemon.now() < deadline:
-            daemon.front.close_idle()
+        daemon.caller_server.close_idle()
+        daemon.caller_server.stop_accepting()
+        while daemon.caller_server.connections and daemon.now() < deadline:
+            daemon.caller_server.close_idle()
             gevent.sleep(POLL_INTERVAL_S)
         logger.info(
             "Stopped.",
             took_s=round(daemon.now() - started_at, 3),
-            cut=daemon.front.active_requests,
+            cut=daemon.caller_server.active_requests,
         )
 
     def _leave_fleet(self) -> None:
--- a/agaterail/gateway/metrics.py
+++ b/agaterail/gateway/metrics.py
@@ -89,10 +89,10 @@
 
     def _update_gauges(self, daemon: Daemon) -> None:
         now = daemon.now()
-        targets = list(daemon.book.targets.values())
+        targets = list(daemon.registry.targets.values())
         desired = daemon.state.desired
         values = {
-            "in_flight": daemon.front.active_requests,
+            "in_flight": daemon.caller_server.active_requests,
             "reading_age_seconds": daemon.freshness.age_s(now),
             "desired_version": -1 if desired is None else desired.version,
             "targets_usable": sum(target.is_usable(now) for target in targets),
@@ -104,7 +104,7 @@
             "fleet_share": daemon.budget.share,
             "lease_seconds": daemon.weights.lease.remaining_s(now),
             "store_calls": daemon.store.calls,
-            "channels_opened": daemon.channels.opened,
+            "channels_opened": daemon.connection_pool.opened,
             "log_lines_dropped": daemon.log_lines_dropped(),
         }
         for name, value in values.items():
--- a/agaterail/gateway/sender.py
+++ b/agaterail/gateway/sender.py
@@ -157,7 +157,7 @@
             if self.retry_state.sends and not self.daemon.budget.try_consume(
                 self.context.service, now
             ):
-                self.daemon.channels.release_unused(choice.target, connection)
+                self.daemon.connection_pool.release_unused(choice.target, connection)
                 return self._give_up(now, "retry budget exhausted")
             return choice, connection
 
@@ -165,7 +165,7 @@
         timeout_s = min(CONNECT_TIMEOUT_S, left * CONNECT_TIMEOUT_FRACTION)
         idempotent = self.context.route.idempotent
         try:
-            return self.daemon.channels.acquire(choice.target, idempotent, timeout_s)
+            return self.daemon.connection_pool.acquire(choice.target, idempotent, timeout_s)
         except OSError as error:
             choice.target.note_failure(now)
             self._record_outcome(choice.target.instance, AttemptOutcome.NOT_CONNECTED)
@@ -210,14 +210,14 @@
 
     def _encode(self, choice: Choice, left: float, last_event_id: str) -> tuple[bytes, bytes]:
         context = self.context
-        terms = self.daemon.cache_terms(context, choice)
-        context.saves = bool(terms.save_to)
+        directives = self.daemon.cache_directives(context, choice)
+        context.saves = bool(directives.save_to)
         head = AttemptHead(
             time_left_s=max(0.001, left - RETURN_MARGIN_S),
             instance=choice.target.instance,
             workspace="" if context.workspace is None else context.workspace.name,
             last_event_id=last_event_id,
-            **attrs.asdict(terms),
+            **attrs.asdict(directives),
         )
         return self.daemon.encode(context.inbound, head), context.inbound.body
 
--- a/agaterail/gateway/startuptimer.py
+++ b/agaterail/gateway/startuptimer.py
@@ -57,6 +57,6 @@
             gevent.sleep(POLL_INTERVAL_S)
         self.log_stage(
             "Ready.",
-            targets=len(daemon.book.targets),
+            targets=len(daemon.registry.targets),
             readers=len(daemon.feeds.readers),
         )
--- a/agaterail/gateway/state.py
+++ b/agaterail/gateway/state.py
@@ -57,7 +57,7 @@
     def __init__(
         self,
         freshness: Freshness,
-        book: TargetRegistry,
+        registry: TargetRegistry,
         assumed_age_s: float = 0.0,
         clock_skew_s: float = 0.0,
     ) -> None:
@@ -66,7 +66,7 @@
         self.naming: VersionAgeRecord | None = None
         self.naming_since = 0.0
         self.freshness = freshness
-        self.book = book
+        self.registry = registry
         self.desired: DesiredState | None = None
         self.may_be_outdated = False
         self.weights: dict[str, VersionHistory] = {}
@@ -118,7 +118,7 @@
         listed = {change.instance for change in changes if isinstance(change, TargetChanged)}
         # Tombstones are renewed too: an older listing that was overtaken by this one may
         # still contain a target that has been removed twice.
-        known = dict.fromkeys([*self.target_offsets, *self.book.targets])
+        known = dict.fromkeys([*self.target_offsets, *self.registry.targets])
         removed = [
             TargetChanged(next_offset - 1, instance, None)
             for instance in known
@@ -222,20 +222,20 @@
         # Removed first, so that the dict is ordered by the time of the last change.
         self.target_offsets.pop(change.instance, None)
         self.target_offsets[change.instance] = change.offset
-        known = self.book.targets.get(change.instance)
+        known = self.registry.targets.get(change.instance)
         if change.entry is None:
-            self.book.remove(change.instance, now)
+            self.registry.remove(change.instance, now)
             if known is not None:
                 logger.info(
                     "Target deregistered.",
                     target=change.instance,
-                    kept=change.instance in self.book.targets,
+                    kept=change.instance in self.registry.targets,
                     offset=change.offset,
                 )
             self._trim_tombstones()
             return
         changed = known is None or known.registration != change.entry
-        self.book.put(change.entry)
+        self.registry.put(change.entry)
         if changed:
             logger.info(
                 "Target registered.",
@@ -249,6 +249,6 @@
             )
 
     def _trim_tombstones(self) -> None:
-        removed = [name for name in self.target_offsets if name not in self.book.targets]
+        removed = [name for name in self.target_offsets if name not in self.registry.targets]
         for name in removed[:-MAX_TOMBSTONES]:
             del self.target_offsets[name]
--- a/agaterail/gateway/weightscontroller.py
+++ b/agaterail/gateway/weightscontroller.py
@@ -118,7 +118,7 @@
             target
             for service in desired.services.values()
             if service.engine is not None
-            for target in self.daemon.book.of_service(service.name)
+            for target in self.daemon.registry.of_service(service.name)
         ]
 
     def on_lease(
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -169,7 +169,7 @@
         sock.close()
 
     def targets(self):
-        return list(self.fleet.daemons[0].book.targets.values())
+        return list(self.fleet.daemons[0].registry.targets.values())
 
 
 class WeightsTest(unittest.TestCase):
@@ -189,7 +189,7 @@
             lambda: all(
                 target.weights_of(MODEL) == 2
                 for daemon in fleet.daemons
-                for target in daemon.book.of_service(LLM)
+                for target in daemon.registry.of_service(LLM)
             )
         )
         answer = fleet.ask("/once/x", stream=True)
--- a/tests/test_agaterail/test_gateway/test_forwarder.py
+++ b/tests/test_agaterail/test_gateway/test_forwarder.py
@@ -18,8 +18,8 @@
 
 def deregister(fleet, other):
     fleet.store.put("keyed.servers", other.instance, b"")
-    book = fleet.daemons[0].book
-    fleet.wait(lambda: other.instance not in book.targets)
+    registry = fleet.daemons[0].registry
+    fleet.wait(lambda: other.instance not in registry.targets)
 
 
 def use_up_budget(fleet, other):
@@ -142,7 +142,7 @@
         self.fleet.wait(lambda: other.runs)
         sock.close()
         self.fleet.wait(lambda: engine.runs[0].outcome == other.runs[0].outcome == "left", 1.0)
-        targets = self.fleet.daemons[0].book.targets.values()
+        targets = self.fleet.daemons[0].registry.targets.values()
         self.assertEqual([target.in_flight for target in targets], [0] * len(targets))
 
 
@@ -192,6 +192,6 @@
         engine.refuse = True
         self.ask_stream()
         daemon = self.fleet.daemons[0]
-        target = daemon.book.targets[engine.instance]
+        target = daemon.registry.targets[engine.instance]
         self.assertEqual(target.refusals, 1)
         self.assertFalse(target.is_usable(daemon.now()))
--- a/tests/test_agaterail/test_gateway/test_startuptimer.py
+++ b/tests/test_agaterail/test_gateway/test_startuptimer.py
@@ -29,7 +29,7 @@
         daemon = SimpleNamespace(
             ready=False,
             stopping=False,
-            book=SimpleNamespace(targets={"i-1": None}),
+            registry=SimpleNamespace(targets={"i-1": None}),
             feeds=SimpleNamespace(readers=("a", "b")),
         )
         waiting = gevent.spawn(self.startup_timer.await_ready, daemon)
--- a/tests/test_agaterail/test_gateway/test_state.py
+++ b/tests/test_agaterail/test_gateway/test_state.py
@@ -74,20 +74,20 @@
     def test_older_target_change_is_ignored(self):
         self.state.apply([TargetChanged(9, "i-1", make_registration(ready=False))], 0.0)
         self.state.apply([TargetChanged(8, "i-1", make_registration(ready=True))], 0.0)
-        self.assertFalse(self.state.book.targets["i-1"].registration.ready)
+        self.assertFalse(self.state.registry.targets["i-1"].registration.ready)
 
     def test_removed_target_can_register_again(self):
         self.state.apply([TargetChanged(1, "i-1", make_registration())], 0.0)
         self.state.apply([TargetChanged(2, "i-1", None)], 0.0)
-        self.assertEqual(self.state.book.of_service("s"), [])
+        self.assertEqual(self.state.registry.of_service("s"), [])
         self.state.apply([TargetChanged(3, "i-1", make_registration())], 0.0)
-        self.assertEqual(len(self.state.book.of_service("s")), 1)
+        self.assertEqual(len(self.state.registry.of_service("s")), 1)
 
 
 class OutOfOrderTargetsTest(unittest.TestCase):
     def setUp(self):
-        self.book = TargetRegistry(GRACE_S)
-        self.state = GatewayState(Freshness(5.0, 2.0), self.book)
+        self.registry = TargetRegistry(GRACE_S)
+        self.state = GatewayState(Freshness(5.0, 2.0), self.registry)
 
     def test_late_slice_does_not_restore_removed_target(self):
         # While a read of the store is slow, a peer reports the registration and its
@@ -96,21 +96,21 @@
         registered = TargetChanged(4, "i-1", make_registration())
         self.state.apply([registered, TargetChanged(5, "i-1", None)], 0.0)
         self.state.apply([registered], 0.1)
-        self.assertEqual(self.book.of_service("s"), [])
+        self.assertEqual(self.registry.of_service("s"), [])
 
     def test_late_listing_does_not_remove_newer_target(self):
         # The listing was read before the target registered and arrives afterwards. The
         # record is not read again, so the target would be missing for a long time.
         self.state.apply([TargetChanged(7, "i-1", make_registration())], 0.0)
         self.state.apply_listing([], 7, 0.1)
-        self.assertEqual(len(self.book.of_service("s")), 1)
+        self.assertEqual(len(self.registry.of_service("s")), 1)
 
     def test_older_slice_does_not_restore_target_removed_by_listing(self):
         registered = TargetChanged(4, "i-1", make_registration())
         self.state.apply([registered], 0.0)
         self.state.apply_listing([], 6, 0.1)
         self.state.apply([registered], 0.2)
-        self.assertEqual(self.book.of_service("s"), [])
+        self.assertEqual(self.registry.of_service("s"), [])
 
     def test_older_listing_does_not_restore_target_removed_twice(self):
         # A target is removed, registers and is removed again. Only the first removal is
@@ -119,7 +119,7 @@
         self.state.apply([TargetChanged(0, "i-1", None)], 0.0)
         self.state.apply_listing([], 3, 0.1)
         self.state.apply_listing([TargetChanged(1, "i-1", make_registration())], 2, 0.2)
-        self.assertEqual(self.book.of_service("s"), [])
+        self.assertEqual(self.registry.of_service("s"), [])
 
     def test_tombstones_are_bounded(self):
         for number in range(3000):
@@ -140,8 +140,8 @@
     def begin(self):
         self.log: list[TargetChanged] = []
         self.now = 100.0
-        self.book = TargetRegistry(GRACE_S)
-        self.state = GatewayState(Freshness(5.0, 2.0), self.book)
+        self.registry = TargetRegistry(GRACE_S)
+        self.state = GatewayState(Freshness(5.0, 2.0), self.registry)
         # Offset and change that are the newest received of each target.
         self.newest_seen: dict[str, tuple[int, TargetChanged]] = {}
         self.returned_at = float("-inf")
@@ -179,14 +179,14 @@
     @rule(seconds=st.floats(0.0, 3.0))
     def wait(self, seconds):
         self.now += seconds
-        self.book.expire(self.now)
+        self.registry.expire(self.now)
         if self.now - self.returned_at >= GRACE_S:
             self.lapsing.clear()
 
     @rule()
     def store_returns(self):
         self.returned_at = self.now
-        self.book.store_returned(self.now)
+        self.registry.store_returned(self.now)
 
     def _record_seen(self, change):
         known = self.newest_seen.get(change.instance)
@@ -204,11 +204,11 @@
         living = {
             name for name, (_, change) in self.newest_seen.items() if change.entry is not None
         }
-        known = set(self.book.targets)
+        known = set(self.registry.targets)
         assert living <= known, f"forgotten: {living - known}"
         assert known <= living | self.lapsing, f"back from the dead: {known - living}"
         for name in living:
-            assert self.book.targets[name].registration == self.newest_seen[name][1].entry
+            assert self.registry.targets[name].registration == self.newest_seen[name][1].entry
 
 
 class VersionsMachine(RuleBasedStateMachine):
--- a/tests/test_agaterail/test_gateway/test_targets.py
+++ b/tests/test_agaterail/test_gateway/test_targets.py
@@ -40,43 +40,43 @@
 
 class TargetRegistryTest(unittest.TestCase):
     def setUp(self):
-        self.book = TargetRegistry(lapse_grace_s=2.0)
+        self.registry = TargetRegistry(lapse_grace_s=2.0)
         self.gone = []
-        self.book.on_gone = self.gone.append
+        self.registry.on_gone = self.gone.append
 
     def test_a_removed_target_is_dropped_immediately(self):
-        self.book.put(make_registration())
-        self.book.remove("i-1", now=0.0)
-        self.assertEqual(self.book.of_service("s"), [])
+        self.registry.put(make_registration())
+        self.registry.remove("i-1", now=0.0)
+        self.assertEqual(self.registry.of_service("s"), [])
         self.assertTrue(self.gone[0].gone)
 
     def test_a_restart_under_the_same_id_clears_observations(self):
         # An engine crashed and came back empty. Observations of the old process must
         # not apply to the new one.
-        old = self.book.put(make_registration(born=1, weights={"m": 1}))
+        old = self.registry.put(make_registration(born=1, weights={"m": 1}))
         old.note_weights("m", 5)
-        new = self.book.put(make_registration(born=2, weights={"m": 1}))
+        new = self.registry.put(make_registration(born=2, weights={"m": 1}))
         self.assertIsNot(new, old)
         self.assertTrue(old.gone)
         self.assertEqual(new.weights_of("m"), 1)
 
     def test_a_heartbeat_keeps_observations(self):
-        target = self.book.put(make_registration(born=1))
+        target = self.registry.put(make_registration(born=1))
         target.note_failure(0.0)
-        self.assertIs(self.book.put(make_registration(born=1, slots=4)), target)
+        self.assertIs(self.registry.put(make_registration(born=1, slots=4)), target)
         self.assertEqual(target.failures, 1)
 
     def test_targets_that_lapsed_in_an_outage_are_kept_for_the_grace_period(self):
         # Right after the store recovers, its answers show registrations that lapsed
         # during the outage. Callers would be refused although the targets are alive and
         # register again within two seconds.
-        self.book.put(make_registration("i-1"))
-        self.book.put(make_registration("i-2"))
-        self.book.store_returned(now=100.0)
-        self.book.remove("i-1", now=100.1)
-        self.book.remove("i-2", now=100.1)
-        self.assertEqual(len(self.book.of_service("s")), 2)
-        self.book.put(make_registration("i-1"))
-        self.assertEqual(self.book.expire(now=101.9), [])
-        self.assertEqual([item.instance for item in self.book.expire(now=102.1)], ["i-2"])
-        self.assertEqual([item.instance for item in self.book.of_service("s")], ["i-1"])
+        self.registry.put(make_registration("i-1"))
+        self.registry.put(make_registration("i-2"))
+        self.registry.store_returned(now=100.0)
+        self.registry.remove("i-1", now=100.1)
+        self.registry.remove("i-2", now=100.1)
+        self.assertEqual(len(self.registry.of_service("s")), 2)
+        self.registry.put(make_registration("i-1"))
+        self.assertEqual(self.registry.expire(now=101.9), [])
+        self.assertEqual([item.instance for item in self.registry.expire(now=102.1)], ["i-2"])
+        self.assertEqual([item.instance for item in self.registry.of_service("s")], ["i-1"])
--- a/tests/test_agaterail/test_gateway/test_weightscontroller.py
+++ b/tests/test_agaterail/test_gateway/test_weightscontroller.py
@@ -36,7 +36,7 @@
             ),
             weights={"m": VersionHistory((DesiredVersion(2, 0.0),))},
         ),
-        book=SimpleNamespace(of_service=lambda _service: engines),
+        registry=SimpleNamespace(of_service=lambda _service: engines),
     )
     daemon.now = lambda: daemon.clock
     return daemon
