--- a/agaterail/gateway/__init__.py
+++ b/agaterail/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon that routes plain HTTP requests whose callers name the parts of prompts.
+"""The daemon that routes plain HTTP requests whose callers name the prompt's parts.
 
 Decisions are made by modules without I/O (:mod:`desired`, :mod:`freshness`,
 :mod:`targets`, :mod:`placement`, :mod:`retrybudget`, :mod:`attempts`,
--- a/agaterail/gateway/attempt.py
+++ b/agaterail/gateway/attempt.py
@@ -147,7 +147,7 @@
         Parameters
         ----------
         healthy
-            Whether the answer resets the target's failures and pause.
+            Whether the answer resets the target's failures, refusals and backoff.
         """
         if self._end():
             if healthy:
--- a/agaterail/gateway/attempts.py
+++ b/agaterail/gateway/attempts.py
@@ -38,7 +38,7 @@
     FAILED = "failed"  # the target sent a complete error answer
     BROKEN = "broken"  # sent, but the answer never arrived completely
     SILENT = "silent"  # sent, but timed out without data
-    NOT_NEEDED = "not_needed"  # sent as a hedge, but the first attempt resumed
+    NOT_NEEDED = "not_needed"  # sent as a hedge, but the first target answered after all
 
 
 @attrs.define
--- a/agaterail/gateway/controlstore.py
+++ b/agaterail/gateway/controlstore.py
@@ -271,7 +271,7 @@
 
     @abc.abstractmethod
     def members(self) -> Result[dict[int, str], StoreError]:
-        """Return the holders of the fleet's partitions, first partitions first."""
+        """Return the holders of partitions, the first partition of each topic first."""
 
     @abc.abstractmethod
     def leave(self, member: str) -> Result[None, StoreError]:
--- a/agaterail/gateway/forwarder.py
+++ b/agaterail/gateway/forwarder.py
@@ -291,6 +291,7 @@
         return self.context.inbound.last_event_id if last is None else str(last)
 
     # Writing to the caller.
+
     def _send_buffered(self, answer: BufferedAnswer) -> None:
         self._mark_answer_started()
         self.context.caller.send_answer(
--- a/agaterail/gateway/handler.py
+++ b/agaterail/gateway/handler.py
@@ -25,7 +25,7 @@
 logger = logs.get_logger("gateway")
 
 # Network round trip to the caller plus event loop pauses.
-RETURN_MARGIN_S = 0.03
+ROUND_TRIP_MARGIN_S = 0.03
 DEFAULT_TIME_LIMIT_S = 60.0
 
 
@@ -112,7 +112,7 @@
         if isinstance(workspace, Failure):
             return workspace
         limit = inbound.time_limit_s or DEFAULT_TIME_LIMIT_S
-        deadline = inbound.received_at + min(route.timeout_s, limit) - RETURN_MARGIN_S
+        deadline = inbound.received_at + min(route.timeout_s, limit) - ROUND_TRIP_MARGIN_S
         service = pick_service(route, self.daemon.random.random())
         self.daemon.budget.note_request(service, self.daemon.now())
         self.daemon.demand.note(inbound.prompt_tokens, self.daemon.now())
@@ -144,7 +144,7 @@
     def _denial(self, kind: ErrorKind) -> Failure:
         """Return a permanent denial, or a temporary one if the desired state is stale.
 
-        A newer desired state may hold the route or API key that is missing here.
+        A newer desired state may contain the route or API key that is missing here.
         """
         if self.daemon.freshness.allows_denial(self.daemon.now()):
             return Failure(kind)
--- a/agaterail/gateway/peerpoller.py
+++ b/agaterail/gateway/peerpoller.py
@@ -54,17 +54,17 @@
         hub = self.hub
         available = self.available_peers()
         # Readers poll each other too. A version takes a second to reach a reader with a
-        # slow link or CPU; the daemons that polled this reader waited for it although
-        # another reader already had the version.
+        # slow link or CPU. Otherwise the daemons that poll this reader would wait for that
+        # although another reader already has the version.
         is_reader = self.daemon.membership.is_reader and len(hub.offsets) == len(Feed)
         if not available or (hub.reads_directly and not is_reader):
             gevent.sleep(PEER_WAIT_S)
             return
         address = self.selector.pick(available)
-        asked_at = self.daemon.now()
+        sent_at = self.daemon.now()
         answer = self.poll(address)
         problem = (
-            answer if isinstance(answer, str) else self.apply_answer(address, answer, asked_at)
+            answer if isinstance(answer, str) else self.apply_answer(address, answer, sent_at)
         )
         if not problem:
             self.selector.record_success(address)
@@ -94,9 +94,9 @@
         decoded = peerprotocol.decode_answer(body)
         return decoded.unwrap() if isinstance(decoded, Success) else str(decoded.failure())
 
-    def apply_answer(self, address: str, answer: PeerAnswer, asked_at: float) -> str:
+    def apply_answer(self, address: str, answer: PeerAnswer, sent_at: float) -> str:
         """Apply a peer's answer; return why the peer counts as failed, or an empty text."""
-        took_s = self.daemon.now() - asked_at
+        took_s = self.daemon.now() - sent_at
         # Readers look up the list of readers themselves. If two of them copied it from
         # each other, they would keep an outdated list alive and send every daemon that
         # polls them to former readers.
@@ -111,8 +111,9 @@
                     problem = f"no {feed.value} from offset {self.hub.offsets[feed]}"
                 continue
             # Lower bound of the time of the answer: the peer kept the query for at least
-            # the wait that it reports. Clocks of different hosts are not compared.
-            answered_at = asked_at + answer.waited_s
+            # the wait that it reports. Its reading was then no older than it reports, so
+            # the times below are never too late. Clocks of different hosts are not compared.
+            answered_at = sent_at + answer.waited_s
             arrival = Arrival(
                 source=address,
                 took_s=took_s,
--- a/agaterail/gateway/peerresponder.py
+++ b/agaterail/gateway/peerresponder.py
@@ -105,7 +105,7 @@
         stats, self.stats = self.stats, AnswerStats()
         if stats.answers:
             logger.info(
-                "Answers to peers.",
+                "Answers sent to peers.",
                 answers=stats.answers,
                 size=stats.size,
                 largest=stats.largest,
--- a/agaterail/gateway/sender.py
+++ b/agaterail/gateway/sender.py
@@ -173,7 +173,10 @@
             return None
 
     def _check_overload(self, now: float) -> Failure | None:
-        """Shed a prompt that was not sent yet if the service is overloaded."""
+        """Shed a prompt that was not sent yet if the service is overloaded.
+
+        Served late itself, it would make the prompts of other callers late too.
+        """
         if not self.context.route.prompted or self.retry_state.sends:
             return None
         random = self.daemon.random
--- a/agaterail/gateway/state.py
+++ b/agaterail/gateway/state.py
@@ -227,7 +227,7 @@
             self.registry.remove(change.instance, now)
             if known is not None:
                 logger.info(
-                    "Target deregistered.",
+                    "Target registration removed.",
                     target=change.instance,
                     kept=change.instance in self.registry.targets,
                     offset=change.offset,
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -309,7 +309,7 @@
     def test_silent_reader_does_not_delay_changes(self):
         # One reader's connection to the store goes silent, undetected for two seconds. An
         # engine drains meanwhile; requests sent to it after the drain bound would be lost.
-        # The other reader has the change, also for the first one.
+        # The other reader has the change and relays it to the first one too.
         fleet = Fleet(gateways=4)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 2)
--- a/tests/test_agaterail/test_gateway/test_eventstream.py
+++ b/tests/test_agaterail/test_gateway/test_eventstream.py
@@ -13,7 +13,7 @@
 
 
 class EventSplitterTest(unittest.TestCase):
-    def test_only_whole_events_are_passed_on(self):
+    def test_only_complete_events_are_relayed(self):
         # The engine fails in the middle of an event. The caller must not get that
         # part, since it would parse the next run's events as the rest of it.
         splitter = EventSplitter()
@@ -32,7 +32,7 @@
         splitter = EventSplitter(last_id=12)
         self.assertEqual(splitter.feed(event(12) + event(13)), event(13))
 
-    def test_an_event_without_an_id_is_passed_on(self):
+    def test_an_event_without_an_id_is_relayed(self):
         self.assertEqual(EventSplitter().feed(b": comment\n\n"), b": comment\n\n")
 
     def test_crlf_ends_events_too(self):
--- a/tests/test_agaterail/test_gateway/test_forwarder.py
+++ b/tests/test_agaterail/test_gateway/test_forwarder.py
@@ -79,7 +79,7 @@
 
 class HedgedStreamTest(ForwarderTest):
     def test_a_paused_stream_completes_when_its_hedge_fails(self):
-        """A paused stream was abandoned before its hedge succeeded and was cut."""
+        """A paused stream was abandoned before its hedge answered, and ended cut."""
         for name, failure in HEDGE_FAILURES.items():
             for stops_host in (False, True):
                 with self.subTest(name, stops_host=stops_host):
--- a/tests/test_agaterail/test_gateway/test_peerpoller.py
+++ b/tests/test_agaterail/test_gateway/test_peerpoller.py
@@ -28,27 +28,27 @@
         self.poller = self.daemon.feeds.poller
 
     def test_old_reading_with_recent_store_contact_is_accepted(self):
-        asked_at = self.daemon.now()
-        problem = self.poller.apply_answer(PEER, answer(1.95, heard_s=0.05), asked_at)
+        sent_at = self.daemon.now()
+        problem = self.poller.apply_answer(PEER, answer(1.95, heard_s=0.05), sent_at)
         self.assertEqual(problem, "")
 
     def test_reader_without_store_contact_is_rejected(self):
-        asked_at = self.daemon.now()
-        problem = self.poller.apply_answer(PEER, answer(1.3, heard_s=1.3), asked_at)
+        sent_at = self.daemon.now()
+        problem = self.poller.apply_answer(PEER, answer(1.3, heard_s=1.3), sent_at)
         self.assertIn("heard of", problem)
 
     def test_reading_beyond_staleness_bound_is_rejected(self):
         old_s = BOUNDS.config_s + 0.1
-        asked_at = self.daemon.now()
-        problem = self.poller.apply_answer(PEER, answer(old_s, heard_s=0.05), asked_at)
+        sent_at = self.daemon.now()
+        problem = self.poller.apply_answer(PEER, answer(old_s, heard_s=0.05), sent_at)
         self.assertIn("old", problem)
 
     def test_reading_age_is_counted_from_peer_answer(self):
         # The query waits at the peer for new records. Counted from the query, the reading
         # would seem older by that wait.
-        asked_at = self.daemon.now()
-        self.poller.apply_answer(PEER, answer(0.1, heard_s=0.0, waited_s=0.6), asked_at + 9.0)
-        self.assertAlmostEqual(self.daemon.freshness.confirmed_at, asked_at + 9.5)
+        sent_at = self.daemon.now()
+        self.poller.apply_answer(PEER, answer(0.1, heard_s=0.0, waited_s=0.6), sent_at + 9.0)
+        self.assertAlmostEqual(self.daemon.freshness.confirmed_at, sent_at + 9.5)
 
     def test_partial_data_of_large_record_counts_as_contact(self):
         heard = []
--- a/tests/test_agaterail/test_gateway/test_peerprotocol.py
+++ b/tests/test_agaterail/test_gateway/test_peerprotocol.py
@@ -27,9 +27,9 @@
         relay = Relay()
         relay.feeds[Feed.TARGETS].add_reading(Reading([], 4, 9.0, listed=True))
         relay.feeds[Feed.TARGETS].add_reading(Reading([record(4)], 5, 9.5, listed=False))
-        asked = PeerQuery({Feed.TARGETS: 4, Feed.LEASE: 2}, (3, 17), 0.6)
-        query = decode_query(encode_query(asked).partition("?")[2].encode())
-        self.assertEqual(query, asked)
+        original = PeerQuery({Feed.TARGETS: 4, Feed.LEASE: 2}, (3, 17), 0.6)
+        query = decode_query(encode_query(original).partition("?")[2].encode())
+        self.assertEqual(query, original)
         body = encode_answer(relay, query, ("1.2.3.4:5",), now=10.0, waited_s=0.25)
         answer = decode_answer(body).unwrap()
         news = answer.feeds[Feed.TARGETS]
@@ -50,7 +50,7 @@
     def test_reading_age_is_never_underestimated(self, age_s, way_s, wait_s):
         # The polling daemon adds the reported wait to the time of its query and subtracts
         # the reported age. The true time of the reading is never earlier than the result.
-        asked_at = 100.0
-        answered_at = asked_at + way_s + wait_s
+        sent_at = 100.0
+        answered_at = sent_at + way_s + wait_s
         true_read_at = answered_at - age_s
-        self.assertLessEqual(asked_at + wait_s - age_s, true_read_at + 1e-9)
+        self.assertLessEqual(sent_at + wait_s - age_s, true_read_at + 1e-9)
--- a/tests/test_agaterail/test_gateway/test_peerselector.py
+++ b/tests/test_agaterail/test_gateway/test_peerselector.py
@@ -52,8 +52,8 @@
     """A key was still accepted more than two seconds after it was revoked.
 
     The store refuses both readers of a small fleet at the same time. One of them is
-    detected as stale 0.6 s after the other; a daemon that polls both in turn gets the
-    change too late.
+    detected as stale 0.6 s after the other; a daemon that polls this one before it reads
+    the store, and waits for the answer, gets the change too late.
     """
 
     def test_one_failure_of_two_readers_triggers_direct_reads(self):
--- a/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
+++ b/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
@@ -43,8 +43,8 @@
                     [DocumentRecord(offset, "config", state)], offset + 1, 1.0, listed=False
                 )
             )
-        asked = PeerQuery({Feed.OPERATORS: 5}, base_offsets=(4,), wait_s=0.0)
-        body = encode_answer(relay, asked, (), now=2.0)
+        query = PeerQuery({Feed.OPERATORS: 5}, base_offsets=(4,), wait_s=0.0)
+        body = encode_answer(relay, query, (), now=2.0)
         # Three versions followed; two rows differ from what the polling daemon has.
         self.assertLess(len(body), 2 * self.MAX_BYTES_PER_ROW)
 
