--- a/agaterail/gateway/forwarder.py
+++ b/agaterail/gateway/forwarder.py
@@ -119,7 +119,7 @@
                     continue
                 outcome = AttemptOutcome.SILENT
             except OSError as error:
-                self.sender.log("Connection to the target failed.", error=str(error))
+                self.sender.log("Exchange with the target failed.", error=str(error))
                 outcome = AttemptOutcome.BROKEN
             if outcome is None:
                 return True
@@ -274,7 +274,7 @@
             self.target_failure = BufferedAnswer(head, attempt.read_rest(deadline))
         except OSError as error:
             self.sender.log(
-                "Connection to the target failed.", attempt.choice, error=str(error)
+                "Exchange with the target failed.", attempt.choice, error=str(error)
             )
             return AttemptOutcome.BROKEN
         return AttemptOutcome.FAILED
--- a/agaterail/gateway/sender.py
+++ b/agaterail/gateway/sender.py
@@ -202,7 +202,7 @@
                 *self._encode(choice, left, last_event_id), timeout_s=max(0.001, left)
             )
         except OSError as error:
-            self.log("Connection to the target failed.", error=str(error))
+            self.log("Exchange with the target failed.", error=str(error))
             self.end_attempt(attempt, AttemptOutcome.BROKEN)
             return None
         except BaseException:
