--- a/agaterail/cmd/arguments.py
+++ b/agaterail/cmd/arguments.py
@@ -1,6 +1,6 @@
 """Check the arguments of a command line before they are passed to fire.
 
-Fire is lenient: it drops a value that is given to a flag without one, passes unknown
+Fire is lenient: it drops a value that is given to a flag that takes none, passes unknown
 flags on to commands with keyword arguments, and uses leftover arguments to access
 attributes of the result. It also parses values as Python literals, so ``1e3`` or ``None``
 would not stay strings. Here each argument is checked against the command's signature, and
--- a/agaterail/cmd/losses.py
+++ b/agaterail/cmd/losses.py
@@ -15,7 +15,7 @@
 
     from agaterail.losses import LossGroup
 
-USAGE_ERROR = 2
+EXIT_USAGE = 2
 MAX_SLOTS = 5
 
 
@@ -23,10 +23,10 @@
     """Print the losses found in logs, largest group first; return the exit status."""
     if slot_s < 1:
         print("--slot: must be at least one second.", file=sys.stderr)
-        return USAGE_ERROR
+        return EXIT_USAGE
     texts = read_logs(paths)
     if texts is None:
-        return USAGE_ERROR
+        return EXIT_USAGE
     for loss in find_losses(parse_log_lines(texts), slot_s):
         print(f"{loss.count:6} {loss.cause.value:36} route={loss.route}", end="")
         print(f" e.g. {' '.join(loss.examples)}")
--- a/agaterail/cmd/story.py
+++ b/agaterail/cmd/story.py
@@ -11,22 +11,22 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-NOT_FOUND = 1
-USAGE_ERROR = 2
+EXIT_NOT_FOUND = 1
+EXIT_USAGE = 2
 
 
 def print_trace(request_id: str, paths: Sequence[str], around_s: float) -> int:
     """Print the trace of a request; return the exit status."""
     if not request_id:
         print("A request id is required.", file=sys.stderr)
-        return USAGE_ERROR
+        return EXIT_USAGE
     texts = read_logs(paths)
     if texts is None:
-        return USAGE_ERROR
+        return EXIT_USAGE
     found = trace_request(parse_log_lines(texts), request_id, around_s)
     if not found:
         print(f"No log lines found for request {request_id}.", file=sys.stderr)
-        return NOT_FOUND
+        return EXIT_NOT_FOUND
     for line in found:
         print(line)
     return 0
--- a/agaterail/cmd/tables.py
+++ b/agaterail/cmd/tables.py
@@ -120,7 +120,7 @@
         if step.adopted:
             through = reader.tables.through
             print(f"Starting from a snapshot through offset {through}.", file=sys.stderr)
-        _print(line(judged) for judged in step.records)
+        _print(line(record) for record in step.records)
         if step.at_end:
             return 0
 
@@ -173,7 +173,8 @@
         return EXIT_FAILED
     if failure.kind is SubmitError.NOT_SENT:
         print(
-            f"The edit was not sent: {failure.detail}. Nothing was changed.", file=sys.stderr
+            f"The log did not accept the edit: {failure.detail}. Nothing was changed.",
+            file=sys.stderr,
         )
         return EXIT_FAILED
     print(
--- a/agaterail/hostlists/__init__.py
+++ b/agaterail/hostlists/__init__.py
@@ -13,7 +13,7 @@
 
 
 class HostState(enum.Enum):
-    """Last known state of a host."""
+    """State of a host, as last known to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Host:
-    """One entry of the list; ``address`` is that of the process on the host."""
+    """One entry of the list; ``address`` is the address of the process on the host."""
 
     address: str
     role: HostRole
--- a/agaterail/peers/__init__.py
+++ b/agaterail/peers/__init__.py
@@ -1,7 +1,7 @@
 """Messages between daemons.
 
 There are two transports. Calls use gRPC and carry messages that must arrive. Queries and
-notices are single datagrams and carry hints, whose loss costs at most some milliseconds
+notices are single datagrams and carry hints, whose loss costs at most a few milliseconds
 or a prefix cache hit. docs/internals/decisions has the measurement behind the split.
 """
 
@@ -122,7 +122,7 @@
         datagrams.receive = self.receive
 
     def handle(self, kind: type[M], handler: Callable[[str, M], object]) -> None:
-        """Register the handler of a message type; it gets the sender's address too."""
+        """Register the handler of a message type; it also gets the sender's address."""
         self.handlers[kind] = handler
 
     def start(self) -> None:
--- a/agaterail/platform/desired.py
+++ b/agaterail/platform/desired.py
@@ -37,7 +37,7 @@
 REQUEST_KINDS = {
     "safe": RequestKind.SAFE,
     "unsafe": RequestKind.UNSAFE,
-    # The gateway has no kind for keyed requests; as unsafe ones they are never retried.
+    # The gateway has no kind for keyed requests; like unsafe ones, they must not run twice.
     "keyed": RequestKind.UNSAFE,
     "streaming": RequestKind.STREAM,
 }
--- a/agaterail/platform/engines.py
+++ b/agaterail/platform/engines.py
@@ -18,7 +18,7 @@
 from agaterail.util.address import Address
 from agaterail.util.httpconn import HttpConnections
 
-# Engines are milliseconds away; one that is silent for this long is unreachable.
+# Engines are milliseconds away; one that is silent for this long counts as unreachable.
 CONNECT_TIMEOUT_S = 0.3
 ANSWER_TIMEOUT_S = 0.6
 HTTP_OK = 200
--- a/agaterail/platform/store.py
+++ b/agaterail/platform/store.py
@@ -165,7 +165,7 @@
     def members(self) -> Result[dict[int, str], StoreError]:
         """Return the holders of the fleet's partitions by rank.
 
-        The first partition of each topic ranks first.
+        The first partitions of all topics rank first, in the order of the topics.
         """
         answer = self._call_json("GET", names.LOG_OWNERS_PATH, {"group": FLEET_GROUP})
         if not isinstance(answer, Success):
--- a/agaterail/settings.py
+++ b/agaterail/settings.py
@@ -34,7 +34,7 @@
     except ValueError:
         raise ValueError(f"{text!r} is not a number of seconds") from None
     if not 0 <= value < float("inf"):
-        raise ValueError(f"{text!r} is negative or not finite")
+        raise ValueError(f"{text!r} is not a finite, non-negative number of seconds")
     return value
 
 
@@ -202,7 +202,7 @@
 
     @classmethod
     def of(cls, name: str, reason: str) -> SettingsProblem:
-        """Build the problem of the setting with a name."""
+        """Return a problem of the setting with the given name."""
         return cls(Settings.flag_of(name), Settings.variable_of(name), reason)
 
 
--- a/agaterail/util/readguard.py
+++ b/agaterail/util/readguard.py
@@ -47,7 +47,7 @@
         return data
 
     def tick(self) -> None:
-        """Count a tick, and abort a read that has waited for more than a timeout."""
+        """Count a tick, and abort a read that has waited longer than the timeout."""
         self.ticks += 1
         if self.waiting and self.ticks > TICKS_PER_TIMEOUT:
             self.expired = True
--- a/tests/test_agaterail/test_cmd/test_main.py
+++ b/tests/test_agaterail/test_cmd/test_main.py
@@ -12,14 +12,14 @@
 from tests.tls import make_tls_files
 
 
-def run_in_process(*words, environment=None):
+def run_in_process(*argv, environment=None):
     out, err = io.StringIO(), io.StringIO()
     with (
         mock.patch.dict(os.environ, environment or {}),
         contextlib.redirect_stdout(out),
         contextlib.redirect_stderr(err),
     ):
-        status = main.run(list(words))
+        status = main.run(list(argv))
     return status, out.getvalue(), err.getvalue()
 
 
@@ -27,8 +27,8 @@
     # An operator mistypes a command line. Fire alone would drop a value, pass an unknown
     # flag on or parse 007 as a number, and the daemon would run with unintended settings.
     # Each mistake must be reported in one line.
-    def assert_refused(self, words, *parts, environment=None):
-        status, out, err = run_in_process(*words, environment=environment)
+    def assert_refused(self, argv, *parts, environment=None):
+        status, out, err = run_in_process(*argv, environment=environment)
         self.assertEqual((status, out), (2, ""))
         lines = err.splitlines()
         self.assertEqual(len(lines), 1, err)
@@ -76,11 +76,11 @@
 
     def test_tls_files_that_do_not_match(self):
         files, others = (make_tls_files(self, ["127.0.0.1"]) for _ in range(2))
-        words = ["serve", "--tls-certificate", files.certificate, "--tls-key", others.key]
-        self.assert_refused(words, "AGATERAIL_TLS_CERTIFICATE", "cannot be used")
+        argv = ["serve", "--tls-certificate", files.certificate, "--tls-key", others.key]
+        self.assert_refused(argv, "AGATERAIL_TLS_CERTIFICATE", "cannot be used")
         flags = ("certificate", "key", "authority")
-        words = [word for name in flags for word in (f"--peer-tls-{name}", __file__)]
-        self.assert_refused(["serve", *words], "AGATERAIL_PEER_TLS_CERTIFICATE")
+        argv = [word for name in flags for word in (f"--peer-tls-{name}", __file__)]
+        self.assert_refused(["serve", *argv], "AGATERAIL_PEER_TLS_CERTIFICATE")
 
     def test_an_unknown_command(self):
         self.assert_refused(["serv"], "'serv'", "did you mean serve?")
@@ -109,9 +109,9 @@
 
 
 class SettingsFromTheCommandLineTest(unittest.TestCase):
-    def print_settings(self, *words, environment=None):
+    def print_settings(self, *argv, environment=None):
         status, out, err = run_in_process(
-            "serve", "--print-settings", *words, environment=environment
+            "serve", "--print-settings", *argv, environment=environment
         )
         self.assertEqual(status, 0, err)
         return out, err
@@ -139,8 +139,8 @@
 
 class HelpTest(unittest.TestCase):
     def test_each_command_has_help(self):
-        for words in (["--help"], *([name, "--help"] for name in main.COMMANDS)):
-            status, out, err = run_in_process(*words)
+        for argv in (["--help"], *([name, "--help"] for name in main.COMMANDS)):
+            status, out, err = run_in_process(*argv)
             self.assertEqual((status, err), (0, ""))
             self.assertIn("agaterail", out)
             self.assertNotIn("FIRE", out)
