--- a/agaterail/platform/store.py
+++ b/agaterail/platform/store.py
@@ -33,7 +33,8 @@
 
 logger = logs.get_logger("store")
 
-PARTITION = 0  # the topics of operators and targets have a single partition
+# The only partition of the operators' and targets' topics, and the first of the others.
+PARTITION = 0
 LEASE_TOPIC = "agaterail-lease"
 TOPIC_BY_FEED = {
     Feed.OPERATORS: names.OPERATOR_TOPIC,
