--- a/agaterail/platform/store.py
+++ b/agaterail/platform/store.py
@@ -33,7 +33,8 @@
 
 logger = logs.get_logger("store")
 
-PARTITION = 0  # the topics of operators and targets have a single partition
+# The only partition of the operators' and targets' topics, and the first of the others.
+PARTITION = 0
 LEASE_TOPIC = "agaterail-lease"
 TOPIC_BY_FEED = {
     Feed.OPERATORS: names.OPERATOR_TOPIC,
@@ -165,7 +166,7 @@
     def members(self) -> Result[dict[int, str], StoreError]:
         """Return the holders of the fleet's partitions by rank.
 
-        The first partition of each topic ranks first.
+        The first partitions of all topics rank first, in the order of the topics.
         """
         answer = self._call_json("GET", names.LOG_OWNERS_PATH, {"group": FLEET_GROUP})
         if not isinstance(answer, Success):
