--- a/agaterail/gateway/forwarder.py
+++ b/agaterail/gateway/forwarder.py
@@ -119,7 +119,7 @@
                     continue
                 outcome = AttemptOutcome.SILENT
             except OSError as error:
-                self.sender.log("Connection to the target failed.", error=str(error))
+                self.sender.log("Exchange with the target failed.", error=str(error))
                 outcome = AttemptOutcome.BROKEN
             if outcome is None:
                 return True
@@ -274,7 +274,7 @@
             self.target_failure = BufferedAnswer(head, attempt.read_rest(deadline))
         except OSError as error:
             self.sender.log(
-                "Connection to the target failed.", attempt.choice, error=str(error)
+                "Exchange with the target failed.", attempt.choice, error=str(error)
             )
             return AttemptOutcome.BROKEN
         return AttemptOutcome.FAILED
@@ -291,6 +291,7 @@
         return self.context.inbound.last_event_id if last is None else str(last)
 
     # Writing to the caller.
+
     def _send_buffered(self, answer: BufferedAnswer) -> None:
         self._mark_answer_started()
         self.context.caller.send_answer(
--- a/tests/test_agaterail/test_gateway/test_daemon.py
+++ b/tests/test_agaterail/test_gateway/test_daemon.py
@@ -169,7 +169,7 @@
         sock.close()
 
     def targets(self):
-        return list(self.fleet.daemons[0].book.targets.values())
+        return list(self.fleet.daemons[0].registry.targets.values())
 
 
 class WeightsTest(unittest.TestCase):
@@ -189,7 +189,7 @@
             lambda: all(
                 target.weights_of(MODEL) == 2
                 for daemon in fleet.daemons
-                for target in daemon.book.of_service(LLM)
+                for target in daemon.registry.of_service(LLM)
             )
         )
         answer = fleet.ask("/once/x", stream=True)
@@ -309,7 +309,7 @@
     def test_silent_reader_does_not_delay_changes(self):
         # One reader's connection to the store goes silent, undetected for two seconds. An
         # engine drains meanwhile; requests sent to it after the drain bound would be lost.
-        # The other reader has the change, also for the first one.
+        # The other reader has the change and relays it to the first one too.
         fleet = Fleet(gateways=4)
         self.addCleanup(fleet.stop)
         fleet.wait(lambda: sum(not d.feeds.reads_directly for d in fleet.daemons) >= 2)
