--- a/agaterail/gateway/attempt.py
+++ b/agaterail/gateway/attempt.py
@@ -133,7 +133,7 @@
         """Record that events were relayed."""
         now = self.daemon.now()
         if self.has_events:
-            self.daemon.shedder_of(self.context.service).pace.note(
+            self.daemon.shedder_of(self.context.service).pace.record(
                 now - self.last_event_at, count, now
             )
         else:
@@ -151,7 +151,7 @@
         """
         if self._end():
             if healthy:
-                self.target.note_success()
+                self.target.record_success()
             self.daemon.connection_pool.release(self.target, self.connection)
 
     def abandon(self) -> None:
@@ -182,4 +182,4 @@
 
     def _record_weights(self, head: AnswerHead) -> None:
         if head.weights_version is not None and (head.not_run or self.is_stream):
-            self.target.note_weights(self.context.inbound.model, head.weights_version)
+            self.target.record_weights(self.context.inbound.model, head.weights_version)
--- a/agaterail/gateway/demand.py
+++ b/agaterail/gateway/demand.py
@@ -18,7 +18,7 @@
         self.offers: deque[tuple[float, int]] = deque()
         self.tokens = 0
 
-    def note(self, tokens: int, now: float) -> None:
+    def record(self, tokens: int, now: float) -> None:
         """Record the prompt of a request."""
         if tokens:
             self.offers.append((now, tokens))
--- a/agaterail/gateway/forwarder.py
+++ b/agaterail/gateway/forwarder.py
@@ -213,7 +213,7 @@
         """
         if self._time_left_s() < MIN_TIME_LEFT_S:
             return False
-        silent.target.note_failure(self.daemon.now())
+        silent.target.record_failure(self.daemon.now())
         while self._time_left_s() >= MIN_TIME_LEFT_S:
             started = self.sender.start_attempt(self._last_event_id())
             if isinstance(started, Failure):
@@ -281,7 +281,7 @@
 
     def _record_stream_length(self) -> None:
         shedder = self.daemon.shedder_of(self.context.service)
-        shedder.pace.note_end(self.context.route, self.splitter.event_count)
+        shedder.pace.record_end(self.context.route, self.splitter.event_count)
 
     def _time_left_s(self) -> float:
         return self.context.deadline - self.daemon.now()
--- a/agaterail/gateway/handler.py
+++ b/agaterail/gateway/handler.py
@@ -114,8 +114,8 @@
         limit = inbound.time_limit_s or DEFAULT_TIME_LIMIT_S
         deadline = inbound.received_at + min(route.timeout_s, limit) - ROUND_TRIP_MARGIN_S
         service = pick_service(route, self.daemon.random.random())
-        self.daemon.budget.note_request(service, self.daemon.now())
-        self.daemon.demand.note(inbound.prompt_tokens, self.daemon.now())
+        self.daemon.budget.record_request(service, self.daemon.now())
+        self.daemon.demand.record(inbound.prompt_tokens, self.daemon.now())
         return RequestContext(
             inbound=inbound,
             route=route,
--- a/agaterail/gateway/loadtime.py
+++ b/agaterail/gateway/loadtime.py
@@ -47,7 +47,7 @@
         known = self.known_s
         return self.assumed_s if known is None else known
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Record the time from an order until the new weights were first observed."""
         if MIN_LOAD_S <= seconds <= MAX_LOAD_S:
             self.samples.append(seconds)
--- a/agaterail/gateway/retrybudget.py
+++ b/agaterail/gateway/retrybudget.py
@@ -48,7 +48,7 @@
         self.requests: dict[str, deque[float]] = {}
         self.retries: dict[str, deque[float]] = {}
 
-    def note_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a request from a caller."""
         requests = self.requests.setdefault(service, deque())
         requests.append(now)
--- a/agaterail/gateway/sender.py
+++ b/agaterail/gateway/sender.py
@@ -71,13 +71,13 @@
             return
         attempt.abandon()
         if outcome is not AttemptOutcome.NOT_NEEDED:
-            attempt.target.note_failure(self.daemon.now())
+            attempt.target.record_failure(self.daemon.now())
         self.log("Attempt failed.", attempt.choice, outcome=outcome.value)
 
     def _handle_refusal(self, attempt: Attempt) -> None:
         head = attempt.head
         assert head is not None
-        attempt.target.note_refusal(self.daemon.now())
+        attempt.target.record_refusal(self.daemon.now())
         self.log(
             "Refused by the target.",
             attempt.choice,
@@ -167,7 +167,7 @@
         try:
             return self.daemon.connection_pool.acquire(choice.target, idempotent, timeout_s)
         except OSError as error:
-            choice.target.note_failure(now)
+            choice.target.record_failure(now)
             self._record_outcome(choice.target.instance, AttemptOutcome.NOT_CONNECTED)
             self.log("Could not connect to the target.", error=str(error))
             return None
--- a/agaterail/gateway/streampace.py
+++ b/agaterail/gateway/streampace.py
@@ -58,14 +58,14 @@
         self.seconds = 0.0
         self.events = 0
 
-    def note(self, seconds: float, events: int, now: float) -> None:
+    def record(self, seconds: float, events: int, now: float) -> None:
         """Record events of a stream and the seconds since its previous ones."""
         self.recent.append((now, seconds, events))
         self.seconds += seconds
         self.events += events
         self._expire(now)
 
-    def note_end(self, route: Route, events: int) -> None:
+    def record_end(self, route: Route, events: int) -> None:
         """Record the number of events of a completed stream."""
         lengths = self.lengths.get(route.name)
         if lengths is None or lengths.route is not route:
--- a/agaterail/gateway/targets.py
+++ b/agaterail/gateway/targets.py
@@ -95,7 +95,7 @@
             return None
         return known if seen is None else max(known, seen)
 
-    def note_weights(self, model: str, version: int) -> None:
+    def record_weights(self, model: str, version: int) -> None:
         """Record the weights named in an answer, which may be ahead of the registration."""
         if version > self.versions_seen.get(model, 0):
             self.versions_seen[model] = version
@@ -108,18 +108,18 @@
         """Return whether the target is in backoff after a failure."""
         return self.failures > 0 and now < self.backoff_until
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Reset the backoff."""
         self.failures = self.refusals = 0
         self.backoff_until = 0.0
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Start a backoff that doubles with each consecutive failure."""
         self.failures += 1
         backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (self.failures - 1))
         self.backoff_until = max(self.backoff_until, now + backoff_s)
 
-    def note_refusal(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Start the shorter backoff of a full or loading target."""
         self.refusals += 1
         backoff_s = INITIAL_REFUSAL_BACKOFF_S * 2 ** (self.refusals - 1)
--- a/agaterail/gateway/weightscontroller.py
+++ b/agaterail/gateway/weightscontroller.py
@@ -105,7 +105,7 @@
         for instance, order in list(self.accepted_orders.items()):
             held = order.load.target.weights_of(order.load.model)
             if held is not None and held >= order.load.version:
-                self.load_time.note(now - order.sent_at)
+                self.load_time.record(now - order.sent_at)
                 del self.accepted_orders[instance]
             elif order.load.target.gone:
                 del self.accepted_orders[instance]
@@ -219,7 +219,7 @@
         report = found.unwrap()
         held = report.weights.get(load.model)
         if held is not None:
-            target.note_weights(load.model, held)
+            target.record_weights(load.model, held)
         if report.loading:
             plan.record_order(load, now, POLL_INTERVAL_S, may_be_loading=True)
             return
@@ -265,7 +265,7 @@
         if outcome is OrderOutcome.ACCEPTED:
             self.accepted_orders[load.target.instance] = AcceptedOrder(load, sent_at)
         if outcome is OrderOutcome.ALREADY_LOADED:
-            load.target.note_weights(load.model, load.version)
+            load.target.record_weights(load.model, load.version)
         elif outcome is OrderOutcome.FENCED:
             self.lease.mark_lost()
             self.plan.clear()
--- a/tests/test_agaterail/test_gateway/test_loadtime.py
+++ b/tests/test_agaterail/test_gateway/test_loadtime.py
@@ -22,7 +22,7 @@
     def test_the_estimate_follows_the_observations(self, real):
         load_time = LoadTime(ALLOWED_S)
         for _ in range(3):
-            load_time.note(real)
+            load_time.record(real)
         self.assertAlmostEqual(load_time.load_s, real)
 
     @given(real=st.floats(0.3, 8.0), wrong=st.floats(0.05, 15.0))
@@ -30,24 +30,24 @@
         # An order is carried out late, or its effect shows only with a heartbeat.
         load_time = LoadTime(ALLOWED_S)
         for seconds in (real, real, wrong, real):
-            load_time.note(seconds)
+            load_time.record(seconds)
         self.assertAlmostEqual(load_time.load_s, real)
 
     def test_the_estimate_adapts_to_slower_engines(self):
         for _ in range(MAX_SAMPLES):
-            self.load_time.note(0.4)
+            self.load_time.record(0.4)
         for _ in range(MAX_SAMPLES // 2 + 1):
-            self.load_time.note(3.0)
+            self.load_time.record(3.0)
         self.assertEqual(self.load_time.load_s, 3.0)
 
     def test_implausible_durations_are_ignored(self):
-        self.load_time.note(-1.0)
-        self.load_time.note(60.0)
+        self.load_time.record(-1.0)
+        self.load_time.record(60.0)
         self.load_time.adopt(0.0)
         self.assertIsNone(self.load_time.known_s)
 
     def test_the_value_of_another_lease_holder_replaces_the_local_one(self):
-        self.load_time.note(1.9)
+        self.load_time.record(1.9)
         self.load_time.adopt(0.5)
         self.assertEqual(self.load_time.load_s, 0.5)
 
--- a/tests/test_agaterail/test_gateway/test_placement.py
+++ b/tests/test_agaterail/test_gateway/test_placement.py
@@ -114,7 +114,7 @@
         first = self.choose(history=history, now=0.0).target
         first.cordoned_at, first.expected_loaded_at = 0.0, 2.0
         for _ in range(MAX_REFUSED_TRIES):
-            first.note_refusal(2.0)
+            first.record_refusal(2.0)
         self.assertIsNot(self.choose(history=history, now=4.0).target, first)
 
     def test_an_unused_cordon_expires(self):
@@ -132,7 +132,7 @@
         first = self.choose().target
         second = self.choose(tried={first.instance}).target
         self.assertIsNot(second, first)
-        second.note_failure(0.0)
+        second.record_failure(0.0)
         third = self.choose(tried={first.instance}).target
         self.assertNotIn(third, (first, second))
 
--- a/tests/test_agaterail/test_gateway/test_retrybudget.py
+++ b/tests/test_agaterail/test_gateway/test_retrybudget.py
@@ -46,7 +46,7 @@
         for number, is_request, pause in steps:
             now += pause
             if is_request:
-                budgets[number].note_request("s", now)
+                budgets[number].record_request("s", now)
                 requests.append(now)
             elif budgets[number].try_consume("s", now):
                 retries.append(now)
--- a/tests/test_agaterail/test_gateway/test_streampace.py
+++ b/tests/test_agaterail/test_gateway/test_streampace.py
@@ -18,32 +18,32 @@
 
     def end_streams(self, counts, route=ROUTE):
         for count in counts:
-            self.pace.note_end(route, count)
+            self.pace.record_end(route, count)
 
     def test_a_long_stream_is_projected_at_the_current_pace(self):
         self.end_streams([10] * 94 + [80] * 6)
-        self.pace.note(2.0, 20, 5.0)
+        self.pace.record(2.0, 20, 5.0)
         self.assertAlmostEqual(self.pace.timeout_ratio(5.0), 80 * 0.1 / 10.0)
 
     def test_the_ratio_is_zero_with_too_few_samples(self):
         self.end_streams([50] * (MIN_LENGTHS - 1))
-        self.pace.note(2.0, 20, 5.0)
+        self.pace.record(2.0, 20, 5.0)
         self.assertEqual(self.pace.timeout_ratio(5.0), 0.0)
         self.end_streams([50])
-        self.pace.note(1.0, 10, 6.1 + WINDOW_S)
+        self.pace.record(1.0, 10, 6.1 + WINDOW_S)
         self.assertGreater(self.pace.timeout_ratio(6.1 + WINDOW_S), 0.0)
         self.assertEqual(self.pace.timeout_ratio(6.2 + 2 * WINDOW_S), 0.0)
 
     def test_the_route_with_the_highest_ratio_counts(self):
         self.end_streams([50] * MIN_LENGTHS)
         self.end_streams([30] * MIN_LENGTHS, make_route("short", timeout_s=2.0))
-        self.pace.note(2.0, 20, 5.0)
+        self.pace.record(2.0, 20, 5.0)
         self.assertAlmostEqual(self.pace.timeout_ratio(5.0), 30 * 0.1 / 2.0)
 
     def test_a_changed_route_keeps_its_stream_lengths(self):
         self.end_streams([50] * (MIN_LENGTHS - 1))
         self.end_streams([50], make_route(timeout_s=5.0))
-        self.pace.note(2.0, 20, 5.0)
+        self.pace.record(2.0, 20, 5.0)
         self.assertAlmostEqual(self.pace.timeout_ratio(5.0), 50 * 0.1 / 5.0)
 
 
@@ -106,13 +106,13 @@
     def make_token(self, stream):
         stream.passed += 1
         if stream.passed % self.TOKENS == 0:
-            self.shedder.pace.note(self.now - stream.event_at, 1, self.now)
+            self.shedder.pace.record(self.now - stream.event_at, 1, self.now)
             stream.event_at = self.now
         done = stream.passed >= stream.events * self.TOKENS
         if not done and self.now - stream.came_at < self.LIMIT_S:
             return
         self.running.remove(stream)
-        self.shedder.pace.note_end(self.route, stream.passed // self.TOKENS)
+        self.shedder.pace.record_end(self.route, stream.passed // self.TOKENS)
         if done:
             self.served.append(stream.events)
 
--- a/tests/test_agaterail/test_gateway/test_targets.py
+++ b/tests/test_agaterail/test_gateway/test_targets.py
@@ -18,12 +18,12 @@
 class TargetTest(unittest.TestCase):
     def test_backoff_grows_with_each_failure(self):
         target = make_target()
-        target.note_failure(0.0)
+        target.record_failure(0.0)
         self.assertFalse(target.is_usable(0.2))
         self.assertTrue(target.is_usable(0.3))
-        target.note_failure(0.3)
+        target.record_failure(0.3)
         self.assertFalse(target.is_usable(0.7))
-        target.note_success()
+        target.record_success()
         self.assertTrue(target.is_usable(0.7))
 
     def test_a_draining_target_gets_no_new_requests(self):
@@ -31,9 +31,9 @@
 
     def test_an_answer_may_know_newer_weights_than_the_registration(self):
         target = make_target(weights={"m": 1})
-        target.note_weights("m", 2)
+        target.record_weights("m", 2)
         self.assertEqual(target.weights_of("m"), 2)
-        target.note_weights("m", 1)
+        target.record_weights("m", 1)
         self.assertEqual(target.weights_of("m"), 2)
         self.assertIsNone(target.weights_of("other"))
 
@@ -54,7 +54,7 @@
         # An engine crashed and came back empty. Observations of the old process must
         # not apply to the new one.
         old = self.registry.put(make_registration(born=1, weights={"m": 1}))
-        old.note_weights("m", 5)
+        old.record_weights("m", 5)
         new = self.registry.put(make_registration(born=2, weights={"m": 1}))
         self.assertIsNot(new, old)
         self.assertTrue(old.gone)
@@ -62,7 +62,7 @@
 
     def test_a_heartbeat_keeps_observations(self):
         target = self.registry.put(make_registration(born=1))
-        target.note_failure(0.0)
+        target.record_failure(0.0)
         self.assertIs(self.registry.put(make_registration(born=1, slots=4)), target)
         self.assertEqual(target.failures, 1)
 
--- a/tests/test_agaterail/test_gateway/test_weightscontroller.py
+++ b/tests/test_agaterail/test_gateway/test_weightscontroller.py
@@ -107,7 +107,7 @@
         )
         controller = WeightsController(daemon)
         controller.lease.end, controller.lease.fencing = 4, 3
-        controller.load_time.note(0.5)
+        controller.load_time.record(0.5)
         controller.release()
         self.assertEqual([entry.load_s for entry in records], [0.5])
 
--- a/tests/test_agaterail/test_gateway/test_weightsplan.py
+++ b/tests/test_agaterail/test_gateway/test_weightsplan.py
@@ -42,7 +42,7 @@
     def test_the_next_load_starts_when_one_completes(self):
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.0)
         self.record_orders(loads, 0.0)
-        loads[0].target.note_weights("m", 2)
+        loads[0].target.record_weights("m", 2)
         following = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.5)
         self.assertEqual(len(following), 1)
         self.assertNotIn(following[0].target, [load.target for load in loads])
@@ -72,7 +72,7 @@
         loads = self.plan.next_loads(list(reversed(self.engines)), {"m": 2}, LIGHT, 7.0)
         self.assertEqual(cordoned, {load.target.instance for load in loads})
         for load in loads:
-            load.target.note_weights("m", 2)
+            load.target.record_weights("m", 2)
         cordon(self.engines, {"m": 2}, LIGHT, 8.0)
         now_cordoned = {item.instance for item in self.engines if item.cordoned_at is not None}
         self.assertFalse(cordoned & now_cordoned)
@@ -97,7 +97,7 @@
             now += 0.1
             for engine in engines:
                 if done_at.get(engine.instance, now + 1) <= now:
-                    engine.note_weights("m", 2)
+                    engine.record_weights("m", 2)
         self.assertLess(now, 15.0)
 
     def test_at_most_two_fifths_load_at_once_under_light_load(self):
@@ -115,7 +115,7 @@
     def test_an_unreachable_engine_does_not_count_as_loading(self):
         # Two engines are unreachable; the others load meanwhile.
         for engine in self.engines[:2]:
-            engine.note_failure(0.0)
+            engine.record_failure(0.0)
         loads = self.plan.next_loads(self.engines, {"m": 2}, LIGHT, 0.1)
         self.assertFalse({load.target for load in loads} & set(self.engines[:2]))
 
