--- a/agaterail/cmd/gateway.py
+++ b/agaterail/cmd/gateway.py
@@ -15,7 +15,7 @@
 from agaterail import logs
 from agaterail.gateway.daemon import Daemon, boottime_s
 from agaterail.gateway.gracefulstop import GracefulStop
-from agaterail.gateway.logbudget import HostField, LogRateLimiter
+from agaterail.gateway.logratelimiter import HostField, LogRateLimiter
 from agaterail.gateway.logsink import LogSink
 from agaterail.gateway.metrics import start_metrics
 from agaterail.gateway.startuptimer import StartupTimer
--- a/agaterail/gateway/daemon.py
+++ b/agaterail/gateway/daemon.py
@@ -13,7 +13,7 @@
 
 from agaterail import logs
 from agaterail.gateway import admission, cachedirectives, kvsavecontroller, placement
-from agaterail.gateway.channels import ConnectionPool
+from agaterail.gateway.connectionpool import ConnectionPool
 from agaterail.gateway.demand import Demand
 from agaterail.gateway.desired import CallerLimits
 from agaterail.gateway.feedhub import FeedHub
--- a/agaterail/gateway/forwarder.py
+++ b/agaterail/gateway/forwarder.py
@@ -7,8 +7,8 @@
 import attrs
 
 from agaterail.errors import Failure
-from agaterail.gateway.attempts import MIN_TIME_LEFT_S, AttemptOutcome
 from agaterail.gateway.eventstream import EventSplitter
+from agaterail.gateway.retrystate import MIN_TIME_LEFT_S, AttemptOutcome
 from agaterail.gateway.sender import Sender
 from agaterail.gateway.targetconnection import wait_readable
 
--- a/agaterail/gateway/handler.py
+++ b/agaterail/gateway/handler.py
@@ -10,10 +10,10 @@
 from agaterail.callerwatch import CallerLeft
 from agaterail.errors import ErrorKind, Failure
 from agaterail.gateway.admission import retry_after_s
-from agaterail.gateway.attempts import RetryState
 from agaterail.gateway.desired import pick_service
 from agaterail.gateway.forwarder import Forwarder
 from agaterail.gateway.requestcontext import RequestContext
+from agaterail.gateway.retrystate import RetryState
 from agaterail.platform import requests
 
 if TYPE_CHECKING:
--- a/agaterail/gateway/requestcontext.py
+++ b/agaterail/gateway/requestcontext.py
@@ -7,10 +7,10 @@
 import attrs
 
 if TYPE_CHECKING:
-    from agaterail.gateway.attempts import RetryState
     from agaterail.gateway.desired import Route, Workspace
     from agaterail.gateway.httpserver import CallerConnection
     from agaterail.gateway.inbound import InboundRequest
+    from agaterail.gateway.retrystate import RetryState
 
 
 @attrs.define(kw_only=True)
--- a/agaterail/gateway/sender.py
+++ b/agaterail/gateway/sender.py
@@ -10,8 +10,8 @@
 from agaterail.errors import ErrorKind, Failure
 from agaterail.gateway.admission import retry_after_s, would_miss_deadline
 from agaterail.gateway.attempt import Attempt
-from agaterail.gateway.attempts import AttemptOutcome
 from agaterail.gateway.inbound import AttemptHead
+from agaterail.gateway.retrystate import AttemptOutcome
 
 if TYPE_CHECKING:
     from agaterail.gateway.daemon import Daemon
--- a/tests/test_agaterail/test_gateway/test_logsink.py
+++ b/tests/test_agaterail/test_gateway/test_logsink.py
@@ -6,7 +6,7 @@
 import gevent
 import structlog
 
-from agaterail.gateway.logbudget import HostField, LogRateLimiter
+from agaterail.gateway.logratelimiter import HostField, LogRateLimiter
 from agaterail.gateway.logsink import LogSink
 
 
--- a/tests/test_agaterail/test_gateway/test_attempts.py
+++ b/tests/test_agaterail/test_gateway/test_retrystate.py
@@ -3,8 +3,8 @@
 import unittest
 
 from agaterail.errors import ErrorKind
-from agaterail.gateway.attempts import AttemptOutcome, RetryState
 from agaterail.gateway.desired import RequestKind
+from agaterail.gateway.retrystate import AttemptOutcome, RetryState
 from tests.test_agaterail.test_gateway.test_desired import make_route
 
 
--- a/tests/test_agaterail/test_outcomes.py
+++ b/tests/test_agaterail/test_outcomes.py
@@ -63,7 +63,7 @@
     ("gateway/handler.py", "_denial"): BEFORE_FORWARDING,
     ("gateway/handler.py", "_workspace"): BEFORE_FORWARDING,
     # Only while no target may have run the request (tests of RetryState).
-    ("gateway/attempts.py", "error_kind"): EXPLICIT_REFUSAL,
+    ("gateway/retrystate.py", "error_kind"): EXPLICIT_REFUSAL,
     ("gateway/sender.py", "_give_up"): EXPLICIT_REFUSAL,
     # Only before the first send.
     ("gateway/sender.py", "_check_overload"): BEFORE_FORWARDING,
