--- a/agaterail/peers/grpc.py
+++ b/agaterail/peers/grpc.py
@@ -60,7 +60,7 @@
     """One server, and one channel per peer.
 
     With client and server in one process under gevent, calls time out once about twenty
-    are in flight, although the peer answers. Four at a time ran without a loss, so
+    are in flight, although the peer answers. With four in flight none times out, so
     further calls wait until one of them ends.
 
     Parameters
--- a/agaterail/policies/__init__.py
+++ b/agaterail/policies/__init__.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class Placement:
-    """Request for which a target is to be chosen.
+    """Request that needs a target.
 
     Attributes
     ----------
--- a/agaterail/util/jitter.py
+++ b/agaterail/util/jitter.py
@@ -13,7 +13,7 @@
 
 
 def jittered_retry_after_s(answer: Answer, request_id: str) -> float:
-    """Return one to two times the retry hint of an answer, chosen by the request id.
+    """Return one to two times the retry hint of an answer, derived from the request id.
 
     Equal hints would bring all refused callers back at the same moment.
     """
--- a/tests/test_agaterail/test_admission.py
+++ b/tests/test_agaterail/test_admission.py
@@ -22,9 +22,9 @@
         self.assertTrue(gate.admit("small", 10.0, 1000.0, 1.0))
 
     def test_small_workspaces_together_do_not_starve_a_larger_one(self):
-        # Seen in tools.overload at four times the capacity: seven small
-        # workspaces were all served before the large one and kept the engines
-        # busy, so admitted requests of the large one exceeded their deadlines.
+        # At four times the capacity (tools.overload), seven small workspaces were
+        # all served before the large one and kept the engines busy, so admitted
+        # requests of the large one exceeded their deadlines.
         gate = FairGate()
         self.fill(gate, "large")
         for number in range(7):
@@ -87,10 +87,10 @@
 
 class CapacityTest(unittest.TestCase):
     def test_a_cold_burst_far_from_its_deadline_is_admitted(self):
-        # Seen in `make demo`: 24 callers send cold prompts of 103 ms through
-        # three daemons to five engines at the same time, with a deadline of
-        # 30 s. Five of them were refused with "cannot answer before the
-        # deadline", although all could get their first token within 1 s.
+        # As in `make demo`, 24 callers send cold prompts of 103 ms through three
+        # daemons to five engines at the same time, with a deadline of 30 s. Five of
+        # them were refused with "cannot answer before the deadline", although all
+        # could get their first token within 1 s.
         gate = FairGate()
         capacity_ms = admission.queue_capacity_ms(targets=5, members=3, deadline_ms=30_000)
         for _ in range(8):
--- a/tests/test_agaterail/test_controllers/test_homes.py
+++ b/tests/test_agaterail/test_controllers/test_homes.py
@@ -150,7 +150,7 @@
         }
         self.assertEqual(len(chosen), 1)
 
-    def test_daemons_do_not_herd_on_an_idle_engine(self):
+    def test_daemons_spread_prompts_over_idle_engines(self):
         # All load reports stay at "idle", as if they were seconds old. Two daemons
         # send twenty prompts without a common prefix. If each daemon counted only
         # its own dispatches, or none, most prompts would queue at one engine.
--- a/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
+++ b/tests/test_agaterail/test_gateway/test_relayed/test_documents.py
@@ -86,7 +86,7 @@
         self.assertEqual(self.transfer(5).unwrap(), [newest])
 
     def test_packed_difference_is_cached(self):
-        # When each peer's answer was encoded anew, the work of a reader grew with the
+        # When the answer was encoded again for each peer, the work of a reader grew with the
         # number of its peers, and the last of them got the change seconds later.
         changed(self.reader, 4, self.rows)
         changed(self.reader, 5, with_row_changed(self.rows, 3))
--- a/tests/test_agaterail/test_gateway/test_relayed/test_records.py
+++ b/tests/test_agaterail/test_gateway/test_relayed/test_records.py
@@ -26,7 +26,7 @@
 
     def test_too_old_offset_cannot_be_served(self):
         # A daemon that was cut off polls for records that are no longer kept. An empty
-        # answer would make it believe that nothing changed.
+        # answer would mean that nothing changed.
         self.feed.add_reading(Reading([], 0, 1.0, listed=True))
         for offset in range(MAX_RECORDS + 10):
             self.feed.add_reading(Reading([record(offset)], offset + 1, 2.0, listed=False))
--- a/tests/test_agaterail/test_gateway/test_weightsplan.py
+++ b/tests/test_agaterail/test_gateway/test_weightsplan.py
@@ -65,8 +65,8 @@
         self.assertEqual(find_outdated([leaving], {"m": 2}), [])
 
     def test_every_daemon_cordons_the_engines_that_are_ordered_to_load(self):
-        # Loading engines refuse requests. All daemons compute the same order, so the
-        # cordoned engines are the ones that are ordered to load.
+        # Loading engines refuse requests. All daemons compute the same order, so
+        # each cordons exactly the engines that are ordered to load.
         cordon(self.engines, {"m": 2}, LIGHT, 7.0)
         cordoned = {item.instance for item in self.engines if item.cordoned_at is not None}
         loads = self.plan.next_loads(list(reversed(self.engines)), {"m": 2}, LIGHT, 7.0)
--- a/tests/test_tools/test_bench.py
+++ b/tests/test_tools/test_bench.py
@@ -32,7 +32,7 @@
         moved = (hottest + CARONI.shift) % CARONI.prefixes
         self.assertEqual(max(set(late), key=late.count), moved)
 
-    def test_isikova_rate_doubles_at_half_time(self):
+    def test_arrival_rate_doubles_at_half_time(self):
         arrivals = Trace(ISIKOVA, 7).arrivals(120.0)
         early = sum(item.at_s < 60 for item in arrivals)
         self.assertAlmostEqual((len(arrivals) - early) / early, 2.0, delta=0.2)
--- a/tools/bench/__main__.py
+++ b/tools/bench/__main__.py
@@ -57,7 +57,7 @@
         "--slot",
         type=int,
         default=0,
-        help="offset of the loopback addresses, of which each workload uses one",
+        help="offset of the loopback addresses (one per workload), for concurrent runs",
     )
     parser.add_argument("--save", help="append the figures to this file as JSON lines")
     parser.add_argument(
--- a/tools/bench/cell.py
+++ b/tools/bench/cell.py
@@ -288,7 +288,8 @@
 def _control_cost(
     before: Sequence[DaemonCounts], after: Sequence[DaemonCounts], seconds: float
 ) -> dict[str, float]:
-    # The counters of a restarted daemon start again at zero, so it is excluded.
+    # The counters of a restarted daemon start again at zero, so its differences are
+    # excluded.
     pairs = [(old, new) for old, new in zip(before, after, strict=True) if old.pid == new.pid]
     count = max(1, len(pairs))
     return {
--- a/tools/bench/cells.py
+++ b/tools/bench/cells.py
@@ -60,7 +60,7 @@
 
 
 def ablations(make_cell: CellFactory) -> Iterator[Cell]:
-    """Yield ``cost`` as it is, with KV transfers, and with one mechanism disabled."""
+    """Yield ``cost`` as it is, with KV transfers, and without one mechanism at a time."""
     yield make_cell(policy="cost")
     yield make_cell(policy="cost", pool=WITH_TRANSFERS, label="with KV transfers")
     for label, tuning in ABLATIONS.items():
--- a/tools/bench/figures.py
+++ b/tools/bench/figures.py
@@ -101,8 +101,8 @@
 def pooled(results: Sequence[Figures]) -> Figures:
     """Return the combined figures of several seeds of one cell.
 
-    Times to the first token are pooled, counts summed, rates averaged, and of
-    each maximum the highest is kept.
+    Times to the first token are pooled, counts summed and rates averaged. Of
+    the busiest engine, the lateness and the resident memory, the maximum is kept.
     """
     count = len(results)
     return Figures(
@@ -136,7 +136,7 @@
 
 
 def hit_rate(before: Sequence[EngineCounts], after: Sequence[EngineCounts]) -> float:
-    """Return the share of prompt tokens that were cached between two snapshots."""
+    """Return cached tokens as a share of the prompt tokens between two snapshots."""
     prompt = sum(item.prompt_tokens for item in after) - sum(
         item.prompt_tokens for item in before
     )
--- a/tools/bench/tune.py
+++ b/tools/bench/tune.py
@@ -29,7 +29,7 @@
     Attributes
     ----------
     candidates
-        Number of candidates that are taken in hash order.
+        Number of candidates by hash order, before the extra ones of hot prefixes.
     query_timeout_ms
         Timeout of the candidate query to the homes; 0 disables the query.
     predict
--- a/tools/bench/workloads.py
+++ b/tools/bench/workloads.py
@@ -9,7 +9,7 @@
 
 from standins.load import TOKEN_BYTES, Prompt
 
-# A block of 64 tokens stands for one of about 2,000 tokens. Prompts stay small
+# A block of 64 tokens represents one of about 2,000 tokens. Prompts stay small
 # enough for a load generator in Python, while the prefill of a block takes as
 # long as that of 1,000 to 2,000 real tokens.
 BLOCK_TOKENS = 64
@@ -134,7 +134,7 @@
         )
 
     def arrivals(self, seconds: float) -> list[Arrival]:
-        """Return the measured arrivals; rate and hot prefixes change at half time."""
+        """Return the arrivals of the run; rate and hot prefixes change at half time."""
         half = seconds / 2
         profile = self.profile
         return list(
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -41,7 +41,7 @@
         file.write(f"#!{sys._base_executable}\n".encode())  # type: ignore[attr-defined]
         with zipfile.ZipFile(file, "w", zipfile.ZIP_DEFLATED) as archive:
             members = _members()
-            # Packages without __init__.py are found only by an entry for their directory.
+            # Packages without __init__.py are found only if their directory has an entry.
             for folder in sorted(
                 {parent for name in members for parent in _parent_directories(name)}
             ):
--- a/tools/overhead.py
+++ b/tools/overhead.py
@@ -95,15 +95,15 @@
     cpu_s, started = 0.0, 0.0
     for _ in range(PHASES // 2):
         direct += _send_phase(fleet.engines, workload, PHASE_S)
-        before = _cpu_seconds(daemon)
+        before = _cpu_s(daemon)
         routed += _send_phase([daemon.address], workload, PHASE_S)
-        cpu_s += _cpu_seconds(daemon) - before
+        cpu_s += _cpu_s(daemon) - before
         started += PHASE_S
     for name, seen in (("direct", direct), ("routed", routed)):
         print(f"first token, {name}: {_summary(seen)}")
-    for part in (0.5, 0.99):
-        added = _quantile(routed, part) - _quantile(direct, part)
-        print(f"added first token p{part * 100:.0f}: {added:.2f} ms")
+    for fraction in (0.5, 0.99):
+        added = _quantile(routed, fraction) - _quantile(direct, fraction)
+        print(f"added first token p{fraction * 100:.0f}: {added:.2f} ms")
     print(f"daemon CPU: {cpu_s / len(routed) * 1e3:.2f} ms a request")
     return sum(not item.complete for item in (*direct, *routed))
 
@@ -129,7 +129,7 @@
     daemon = fleet.daemons[0]
     workload = Workload(SEED, WORKSPACES, instruction_tokens=100, history_tokens=100)
     end = time.monotonic() + STREAM_SECONDS
-    before, started = _cpu_seconds(daemon), time.monotonic()
+    before, started = _cpu_s(daemon), time.monotonic()
     streamers = [
         gevent.spawn(_stream_until, end, daemon.address, number % WORKSPACES, workload)
         for number in range(streams)
@@ -141,7 +141,7 @@
         sum(broken for _, broken in results),
         sum(events for events, _ in results),
         time.monotonic() - started,
-        _cpu_seconds(daemon) - before,
+        _cpu_s(daemon) - before,
     )
     print(
         f"{result.streams} streams: {result.events / result.seconds:.0f} events/s, "
@@ -180,7 +180,7 @@
     return events, broken
 
 
-def _cpu_seconds(daemon: Daemon) -> float:
+def _cpu_s(daemon: Daemon) -> float:
     text = pathlib.Path(f"/proc/{daemon.process.pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -192,9 +192,9 @@
     return f"{quantiles}, whole {whole} of {len(seen)}"
 
 
-def _quantile(seen: list[StreamResult], part: float) -> float:
+def _quantile(seen: list[StreamResult], fraction: float) -> float:
     times = sorted(item.first_token_ms for item in seen)
-    return times[int(len(times) * part)]
+    return times[int(len(times) * fraction)]
 
 
 if __name__ == "__main__":
--- a/tools/slopes/__main__.py
+++ b/tools/slopes/__main__.py
@@ -1,6 +1,6 @@
 """Measure the slopes of the given roles, or of the default ones (``make slopes``).
 
-``idle`` takes a minute and a half and runs only if it is given.
+``idle`` takes a minute and a half and runs only if it is named.
 """
 
 from __future__ import annotations
--- a/tools/slopes/idle.py
+++ b/tools/slopes/idle.py
@@ -1,8 +1,8 @@
 """Control overhead of a real daemon that serves no requests.
 
 The daemon knows 600 engines, 410 members and up to 23,000 workspaces. It is the
-home of two engines, which send events at the rate of the target size. The other
-addresses are fictitious and never called.
+home of two engines, which send events at the rate expected in a deployment of
+the target size. The other addresses are fictitious and never called.
 """
 
 from __future__ import annotations
