--- a/agaterail/gateway/freshness.py
+++ b/agaterail/gateway/freshness.py
@@ -6,7 +6,7 @@
 
 # Fraction of the revocation bound kept in reserve for clock rounding and for the time
 # between the check and the first byte to the target. 4% of 5 s is 200 ms, ten times the
-# longest pause of the event loop that was observed under load.
+# longest pause of the event loop under load.
 SAFETY_MARGIN = 0.04
 
 
--- a/tests/test_agaterail/test_platform/test_cacheevents.py
+++ b/tests/test_agaterail/test_platform/test_cacheevents.py
@@ -17,7 +17,7 @@
 }
 
 
-class DecodeNewsTest(unittest.TestCase):
+class DecodeCacheChangesTest(unittest.TestCase):
     def test_events_become_changes(self):
         batch = decode_cache_changes(json.dumps(ANSWER).encode())
         self.assertEqual((batch.epoch, batch.next_number), (77120, 120))
--- a/tests/test_standins/test_platform_engine.py
+++ b/tests/test_standins/test_platform_engine.py
@@ -11,7 +11,7 @@
     def test_truncated_request_is_not_run(self):
         # A proxy may reset a connection within the head or the body of a request.
         # If the stand-in executed such a request, the soak would report a run
-        # without an ID as a fault of the gateway, as seed 136 did.
+        # without an ID as a fault of the gateway (soak seed 136).
         target = PlatformTargetStandIn("t")
         host, _, port = target.start().rpartition(":")
         self.addCleanup(target.stop)
--- a/tools/bench/cell.py
+++ b/tools/bench/cell.py
@@ -119,16 +119,16 @@
         engines, daemons = self._engine_counts(), self._daemon_counts()
         fault_timer = gevent.spawn_later(self.cell.seconds / 2, FAULTS[self.cell.fault], self)
         started = time.monotonic()
-        seen = self._send(arrivals)
+        results = self._send(arrivals)
         seconds = time.monotonic() - started
         fault_timer.join()
         result = self._figures(
-            seen, seconds, engines, self._engine_counts(), daemons, self._daemon_counts()
+            results, seconds, engines, self._engine_counts(), daemons, self._daemon_counts()
         )
         late_start_s = self.cell.seconds * LATE_PART_START
         late = [
             item
-            for arrival, item in zip(arrivals, seen, strict=True)
+            for arrival, item in zip(arrivals, results, strict=True)
             if arrival.at_s >= late_start_s
         ]
         return attrs.evolve(result, late_hit_rate=_client_hit_rate(late))
@@ -238,7 +238,7 @@
 
     def _figures(
         self,
-        seen: Sequence[StreamResult],
+        results: Sequence[StreamResult],
         seconds: float,
         before: Sequence[EngineCounts],
         after: Sequence[EngineCounts],
@@ -251,10 +251,10 @@
         ]
         busy = [tokens * PREFILL_MS_PER_TOKEN / 1e3 / self.cell.seconds for tokens in computed]
         deadline = float(self.profile.deadline_ms)
-        first = sorted(item.first_token_ms if item.complete else deadline for item in seen)
+        first = sorted(item.first_token_ms if item.complete else deadline for item in results)
         late = sorted(self.lateness_ms)
         return Figures(
-            requests=len(seen),
+            requests=len(results),
             hit_rate=figures.hit_rate(before, after),
             computed_tokens=sum(computed),
             wasted_tokens=figures.wasted_tokens(before, after, BLOCK_TOKENS),
@@ -263,11 +263,11 @@
                 for old, new in zip(before, after, strict=True)
             ),
             first_token_ms=tuple(round(value, 1) for value in first),
-            not_whole=sum(not item.complete for item in seen),
+            not_whole=sum(not item.complete for item in results),
             errors=collections.Counter(
-                _error_kind(item) for item in seen if not item.complete
+                _error_kind(item) for item in results if not item.complete
             ),
-            reasons=collections.Counter(item.reason for item in seen if item.complete),
+            reasons=collections.Counter(item.reason for item in results if item.complete),
             late_hit_rate=0.0,
             busiest=max(busy),
             mean_busy=sum(busy) / len(busy),
@@ -317,16 +317,16 @@
     )
 
 
-def _client_hit_rate(seen: Sequence[StreamResult]) -> float:
-    prompt = sum(item.prompt_tokens for item in seen if item.complete)
-    return sum(item.cached_tokens for item in seen if item.complete) / max(1, prompt)
+def _client_hit_rate(results: Sequence[StreamResult]) -> float:
+    prompt = sum(item.prompt_tokens for item in results if item.complete)
+    return sum(item.cached_tokens for item in results if item.complete) / max(1, prompt)
 
 
-def _error_kind(seen: StreamResult) -> str:
+def _error_kind(result: StreamResult) -> str:
     try:
-        return str(json.loads(seen.error)["error"]["code"])
+        return str(json.loads(result.error)["error"]["code"])
     except (ValueError, KeyError, TypeError):
-        return seen.error[:60] or "incomplete"
+        return result.error[:60] or "incomplete"
 
 
 # Faults
--- a/tools/measure_drain.py
+++ b/tools/measure_drain.py
@@ -49,10 +49,10 @@
 
 
 def _run(fleet: Fleet, long_streams: int) -> None:
-    seen: collections.defaultdict[str, list[StreamResult]] = collections.defaultdict(list)
+    results: collections.defaultdict[str, list[StreamResult]] = collections.defaultdict(list)
     draining, leaving = fleet.daemons[0], fleet.engines[0]
     jobs = [
-        gevent.spawn(_stream, draining.address, number, LONG_TOKENS, seen["long"])
+        gevent.spawn(_stream, draining.address, number, LONG_TOKENS, results["long"])
         for number in range(long_streams)
     ]
     started = time.monotonic()
@@ -70,12 +70,14 @@
             signalled = True
             draining.process.send_signal(signal.SIGTERM)
         kind = "during the lag" if signalled else "before"
-        jobs.append(gevent.spawn(_stream, draining.address, number, SHORT_TOKENS, seen[kind]))
+        jobs.append(
+            gevent.spawn(_stream, draining.address, number, SHORT_TOKENS, results[kind])
+        )
         number += 1
         gevent.sleep(REQUEST_INTERVAL_S)
     gevent.joinall(jobs)
     status = draining.process.wait(30)
-    for kind, streams in seen.items():
+    for kind, streams in results.items():
         whole = sum(item.complete for item in streams)
         errors = {item.error[:80] for item in streams if not item.complete}
         print(f"{kind}: {len(streams)} streams, {whole} whole, errors {sorted(errors)}")
--- a/tools/measure_startup.py
+++ b/tools/measure_startup.py
@@ -188,9 +188,9 @@
     client = StreamClient(daemon.address, api_key_of(0), "atlas")
     while True:
         sent_at = time.monotonic()
-        seen = client.ask(prompt)
-        if seen.complete:
-            return sent_at - opened + seen.first_token_ms / 1e3
+        result = client.ask(prompt)
+        if result.complete:
+            return sent_at - opened + result.first_token_ms / 1e3
         if time.monotonic() - opened > 20:
             raise RuntimeError("no request was served within 20 s after the port opened")
         time.sleep(0.005)
--- a/tools/overhead.py
+++ b/tools/overhead.py
@@ -99,8 +99,8 @@
         routed += _send_phase([daemon.address], workload, PHASE_S)
         cpu_s += _cpu_s(daemon) - before
         started += PHASE_S
-    for name, seen in (("direct", direct), ("routed", routed)):
-        print(f"first token, {name}: {_summary(seen)}")
+    for name, results in (("direct", direct), ("routed", routed)):
+        print(f"first token, {name}: {_summary(results)}")
     for fraction in (0.5, 0.99):
         added = _quantile(routed, fraction) - _quantile(direct, fraction)
         print(f"added first token p{fraction * 100:.0f}: {added:.2f} ms")
@@ -170,13 +170,13 @@
         if not isinstance(sent, Success):
             broken += 1
             continue
-        seen, tail = 0, b""
+        chunks, tail = 0, b""
         response = sent.unwrap()
         while part := response.read_available():
-            seen += part.count(CHUNK_MARKER)
+            chunks += part.count(CHUNK_MARKER)
             tail = (tail + part)[-len(END_MARKER) :]
-        broken += seen != STREAM_TOKENS or tail != END_MARKER
-        events += seen
+        broken += chunks != STREAM_TOKENS or tail != END_MARKER
+        events += chunks
     return events, broken
 
 
@@ -186,14 +186,16 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def _summary(seen: list[StreamResult]) -> str:
-    whole = sum(item.complete for item in seen)
-    quantiles = ", ".join(f"p{q * 100:.0f} {_quantile(seen, q):.2f} ms" for q in (0.5, 0.99))
-    return f"{quantiles}, whole {whole} of {len(seen)}"
+def _summary(results: list[StreamResult]) -> str:
+    whole = sum(item.complete for item in results)
+    quantiles = ", ".join(
+        f"p{q * 100:.0f} {_quantile(results, q):.2f} ms" for q in (0.5, 0.99)
+    )
+    return f"{quantiles}, whole {whole} of {len(results)}"
 
 
-def _quantile(seen: list[StreamResult], fraction: float) -> float:
-    times = sorted(item.first_token_ms for item in seen)
+def _quantile(results: list[StreamResult], fraction: float) -> float:
+    times = sorted(item.first_token_ms for item in results)
     return times[int(len(times) * fraction)]
 
 
