--- a/agaterail/claims.py
+++ b/agaterail/claims.py
@@ -400,7 +400,7 @@
     return tuple(queue.popleft() for _ in range(min(len(queue), MAX_BATCH)))
 
 
-class Ticket:
+class PendingClaim:
     """Pending claim of this daemon that is settled exactly once.
 
     The owner and the log may both deliver a verdict, and either may be late.
@@ -418,7 +418,7 @@
         self.settled = False
 
     def settle(self, verdict: Verdict) -> bool:
-        """Accept a verdict; return False if the ticket was already settled."""
+        """Accept a verdict; return False if the claim was already settled."""
         if self.settled:
             return False
         self.settled = True
--- a/agaterail/controllers/claims.py
+++ b/agaterail/controllers/claims.py
@@ -14,8 +14,8 @@
     ClaimBatch,
     Finish,
     PartitionQueue,
+    PendingClaim,
     Release,
-    Ticket,
     Verdict,
     VerdictKind,
 )
@@ -186,7 +186,7 @@
     def __init__(self, controller: ClaimsController, owner: str) -> None:
         self.controller = controller
         self.owner = owner
-        self.tickets: list[WaitingTicket] = []
+        self.pending_claims: list[AwaitedClaim] = []
         self.releases: list[Release] = []
         self.finishes: list[Finish] = []
         self.scheduled = False
@@ -198,19 +198,19 @@
             self.controller.app.timers.after(FORWARD_BATCH_DELAY_S, self._send)
 
     def _send(self) -> None:
-        tickets, self.tickets = self.tickets, []
+        pending_claims, self.pending_claims = self.pending_claims, []
         releases, self.releases = self.releases, []
         finishes, self.finishes = self.finishes, []
         batch = ClaimBatch(
             finishes=tuple(finishes),
             releases=tuple(releases),
-            claims=tuple(ticket.claim for ticket in tickets),
+            claims=tuple(pending.claim for pending in pending_claims),
         )
         answered = self.controller.app.peers.call(
             self.owner, HandClaims(batch), FORWARD_TIMEOUT_S
         )
         self.scheduled = False
-        if self.tickets or self.releases or self.finishes:
+        if self.pending_claims or self.releases or self.finishes:
             self.schedule()
         answer = answered.value_or(None)
         if not isinstance(answer, ClaimVerdicts):
@@ -221,18 +221,18 @@
                 self.controller.worker_of(finish.key).finish(finish)
             answer = ClaimVerdicts(())
         by_attempt = {verdict.attempt: verdict for verdict in answer.verdicts}
-        for ticket in tickets:
-            verdict = by_attempt.get(ticket.claim.attempt)
+        for pending in pending_claims:
+            verdict = by_attempt.get(pending.claim.attempt)
             if verdict is None or verdict.kind is VerdictKind.UNAVAILABLE:
                 # The owner may still have appended the claim. The fold counts
                 # only the first copy, so appending it here again is safe.
-                self.controller.claim_locally(ticket)
+                self.controller.claim_locally(pending)
             else:
-                ticket.settle(verdict)
+                pending.settle(verdict)
 
 
-class WaitingTicket(Ticket):
-    """Ticket whose verdict a request waits for."""
+class AwaitedClaim(PendingClaim):
+    """Pending claim whose verdict a request waits for."""
 
     def __init__(self, claim: Claim) -> None:
         super().__init__(claim)
@@ -307,17 +307,17 @@
         An attempt that is abandoned here is never started, so the caller can be
         told that the request was not run. Its release frees the key for a retry.
         """
-        ticket = WaitingTicket(claim)
+        pending = AwaitedClaim(claim)
         owner = self.owners[claims.partition_of(claim.key)]
         if owner in (None, self.app.peers.own_address):
-            self.claim_locally(ticket)
+            self.claim_locally(pending)
         else:
             forwarder = self._forwarder(str(owner))
-            forwarder.tickets.append(ticket)
+            forwarder.pending_claims.append(pending)
             forwarder.schedule()
-        ticket.done.wait(timeout_s)
-        ticket.abandon()
-        verdict = ticket.verdict
+        pending.done.wait(timeout_s)
+        pending.abandon()
+        verdict = pending.verdict
         if verdict is None or verdict.kind is VerdictKind.UNAVAILABLE:
             # A copy of the claim may be on the log or in flight to it. Without a
             # release, every retry would be answered "in progress" forever.
@@ -326,12 +326,12 @@
             self.running.add(claim.attempt)
         return verdict
 
-    def claim_locally(self, ticket: Ticket) -> None:
+    def claim_locally(self, pending: PendingClaim) -> None:
         """Claim through this daemon's own worker of the partition."""
-        if ticket.settled:
+        if pending.settled:
             return
-        self.worker_of(ticket.claim.key).submit(
-            ticket.claim, lambda verdict: _settle(ticket, verdict)
+        self.worker_of(pending.claim.key).submit(
+            pending.claim, lambda verdict: _settle(pending, verdict)
         )
 
     def release(self, release: Release) -> None:
@@ -412,8 +412,8 @@
         return ClaimVerdicts(tuple(verdicts))
 
 
-def _settle(ticket: Ticket, verdict: Verdict) -> None:
-    ticket.settle(verdict)
+def _settle(pending: PendingClaim, verdict: Verdict) -> None:
+    pending.settle(verdict)
 
 
 def _decode(record: LogRecord) -> tuple[int, ClaimBatch]:
--- a/agaterail/controllers/hosts.py
+++ b/agaterail/controllers/hosts.py
@@ -35,8 +35,8 @@
     def __init__(self, app: Application) -> None:
         self.app = app
         self.members: tuple[str, ...] = ()
-        app.peers.on_message_received = self._on_heard
-        app.peers.on_unanswered = self._on_missed
+        app.peers.on_message_received = self._on_message_received
+        app.peers.on_unanswered = self._on_unanswered
         app.peers.handle(Draining, self._on_draining)
         app.events.subscribe(ShutdownStarted, self._on_shutdown)
 
@@ -73,12 +73,12 @@
         logger.info("Members changed.", count=len(members), gone=gone)
         self.app.events.publish(MembersChanged(members))
 
-    def _on_heard(self, address: str) -> None:
-        self.app.members.on_heard(address)
+    def _on_message_received(self, address: str) -> None:
+        self.app.members.on_message_received(address)
 
-    def _on_missed(self, address: str, is_call: bool) -> None:
+    def _on_unanswered(self, address: str, is_call: bool) -> None:
         weight = CALL_WEIGHT if is_call else QUERY_WEIGHT
-        self.app.members.on_missed(address, weight, self.app.timers.now())
+        self.app.members.on_unanswered(address, weight, self.app.timers.now())
 
     def _on_draining(self, sender: str, _message: Draining) -> None:
         self.app.members.on_drain(sender, self.app.timers.now())
--- a/agaterail/editing.py
+++ b/agaterail/editing.py
@@ -56,7 +56,7 @@
     while True:
         stepped = reader.step()
         if not isinstance(stepped, Success):
-            return Failure(f"The log gave no answer: {_describe_error(stepped.failure())}.")
+            return Failure(f"The log did not answer: {_describe_error(stepped.failure())}.")
         step = stepped.unwrap()
         if step.gap and not step.adopted:
             return Failure(
@@ -96,7 +96,7 @@
 
 
 def submit(
-    log: LogStore, reader: TablesReader, edit: Edit, pause: Callable[[float], None]
+    log: LogStore, reader: TablesReader, edit: Edit, sleep: Callable[[float], None]
 ) -> Result[FoldResult, SubmitFailure]:
     """Append an edit and read back its verdict.
 
@@ -127,7 +127,7 @@
             if found is not None:
                 return found
             reads_left -= 1
-        pause(RETRY_PAUSE_S)
+        sleep(RETRY_PAUSE_S)
     kind = SubmitError.UNKNOWN if maybe_sent else SubmitError.NOT_SENT
     return Failure(SubmitFailure(kind, detail))
 
--- a/agaterail/gateway/__main__.py
+++ b/agaterail/gateway/__main__.py
@@ -14,9 +14,9 @@
 import time
 
 STARTED_AT = time.clock_gettime(time.CLOCK_BOOTTIME)
-PROCESSOR_AT = time.process_time()
+INITIAL_CPU_S = time.process_time()
 
 from agaterail.cmd.gateway import gateway
 
 if __name__ == "__main__":
-    sys.exit(gateway(started_at=STARTED_AT, initial_cpu_s=PROCESSOR_AT))
+    sys.exit(gateway(started_at=STARTED_AT, initial_cpu_s=INITIAL_CPU_S))
--- a/agaterail/members.py
+++ b/agaterail/members.py
@@ -79,7 +79,7 @@
         }
         self.drained = {key: until for key, until in self.drained.items() if key in listed}
 
-    def on_heard(self, address: str) -> None:
+    def on_message_received(self, address: str) -> None:
         """Record an answer or message from a member and clear its failures."""
         self.suspicions.pop(address, None)
         self.contacts.pop(address, None)
@@ -87,7 +87,7 @@
         if len(self.contacts) > MAX_CONTACTS:
             self.contacts.popitem(last=False)
 
-    def on_missed(self, address: str, weight: int, now: float) -> None:
+    def on_unanswered(self, address: str, weight: int, now: float) -> None:
         """Record a call or query that a member did not answer.
 
         The member is ejected once its failures reach ``EJECTION_WEIGHT`` and
--- a/tests/test_agaterail/test_claims.py
+++ b/tests/test_agaterail/test_claims.py
@@ -14,8 +14,8 @@
     Finish,
     Partition,
     PartitionQueue,
+    PendingClaim,
     Release,
-    Ticket,
     Verdict,
     VerdictKind,
 )
@@ -57,7 +57,7 @@
     """One attempt of a request, with its claim and what its caller was told."""
 
     def __init__(self, key, daemon, incarnation, attempt):
-        self.ticket = Ticket(Claim(key, f"d{daemon}", attempt))
+        self.pending = PendingClaim(Claim(key, f"d{daemon}", attempt))
         self.daemon = daemon
         self.incarnation = incarnation
         self.ran = False
@@ -95,9 +95,9 @@
     def submit_claim(self, key, daemon, owner, both, at_once):
         call = Call(key, daemon, self.incarnations[daemon], f"x{len(self.all_calls)}")
         self.all_calls.append(call)
-        self.by_attempt[call.ticket.claim.attempt] = call
+        self.by_attempt[call.pending.claim.attempt] = call
         for number in {owner, daemon} if both else {owner}:
-            self.queues[number].submit(call.ticket.claim)
+            self.queues[number].submit(call.pending.claim)
         if at_once:
             self.append_and_read(owner, "ok")
         return call
@@ -141,23 +141,23 @@
             call = self.by_attempt[verdict.attempt]
             if not delivered or call.incarnation != self.incarnations[call.daemon]:
                 continue
-            if call.ticket.settle(verdict) and verdict.kind is UNAVAILABLE:
+            if call.pending.settle(verdict) and verdict.kind is UNAVAILABLE:
                 self.release_claim(call)
 
     def release_claim(self, call):
         call.answer = "not_run"
-        item = call.ticket.claim
+        item = call.pending.claim
         self.queues[call.daemon].abandon(item.attempt)
         self.queues[call.daemon].release(Release(item.key, item.attempt))
 
     @rule(call=calls)
     def give_up(self, call):
-        if self.alive(call) and call.ticket.abandon():
+        if self.alive(call) and call.pending.abandon():
             self.release_claim(call)
 
     @rule(call=calls, reaches_target=st.booleans())
     def run(self, call, reaches_target):
-        verdict = call.ticket.verdict
+        verdict = call.pending.verdict
         if not self.alive(call) or verdict is None or verdict.kind is not WON or call.answer:
             return
         if call.ran:
@@ -166,13 +166,13 @@
             self.release_claim(call)
             return
         call.ran = True
-        self.journal.append(call.ticket.claim)
+        self.journal.append(call.pending.claim)
 
     @rule(call=calls, outcome=st.sampled_from(list(ClaimOutcome)))
     def end(self, call, outcome):
         if self.alive(call) and call.ran and not call.answer:
             call.answer = outcome.value
-            item = call.ticket.claim
+            item = call.pending.claim
             self.queues[call.daemon].finish(make_finish(item.attempt, outcome, item.key))
 
     @rule(daemon=st.integers(0, DAEMONS - 1), result=st.sampled_from(APPEND_RESULTS))
@@ -212,7 +212,7 @@
         for offset, batch in self.log.read(0, len(self.log.records)):
             last.fold(offset, batch)
         gave_up = {
-            call.ticket.claim.attempt
+            call.pending.claim.attempt
             for call in self.all_calls
             if call.answer == "not_run" and self.alive(call)
         }
@@ -235,7 +235,7 @@
     def not_run_means_never_run(self):
         ran = {item.attempt for item in self.journal}
         for call in self.all_calls:
-            assert call.answer != "not_run" or call.ticket.claim.attempt not in ran
+            assert call.answer != "not_run" or call.pending.claim.attempt not in ran
 
     @invariant()
     def readers_agree(self):
@@ -376,10 +376,10 @@
         self.assertEqual(found, [Verdict(attempt="y", kind=WON)])
 
     def test_a_late_verdict_does_not_start_an_abandoned_attempt(self):
-        ticket = Ticket(claim("x"))
-        self.assertTrue(ticket.abandon())
-        self.assertFalse(ticket.settle(Verdict(attempt="x", kind=WON)))
-        self.assertIsNone(ticket.verdict)
+        pending = PendingClaim(claim("x"))
+        self.assertTrue(pending.abandon())
+        self.assertFalse(pending.settle(Verdict(attempt="x", kind=WON)))
+        self.assertIsNone(pending.verdict)
 
     def test_workspaces_do_not_share_keys(self):
         self.assertNotEqual(claims.key_hash("a", "k"), claims.key_hash("b", "k"))
--- a/tests/test_agaterail/test_editing.py
+++ b/tests/test_agaterail/test_editing.py
@@ -25,11 +25,11 @@
         self.log.append(TABLES_STREAM, codec.encode(record, TablesRecord))
 
     def submit(self, change, on_pause=lambda number: None):
-        def pause(_seconds):
+        def sleep(_seconds):
             self.pauses += 1
             on_pause(self.pauses)
 
-        return editing.submit(self.log, self.reader, change, pause)
+        return editing.submit(self.log, self.reader, change, sleep)
 
     def test_an_edit_whose_answer_was_lost_is_reported_as_accepted(self):
         # The append takes effect but its answer is lost. The operator must not be
--- a/tests/test_agaterail/test_filters/test_claim.py
+++ b/tests/test_agaterail/test_filters/test_claim.py
@@ -65,7 +65,7 @@
         self.daemons[number].stop()
         controller = self.daemons[number].app.controllers["claims"]
         for forwarder in controller.forwarders.values():
-            forwarder.finishes, forwarder.releases, forwarder.tickets = [], [], []
+            forwarder.finishes, forwarder.releases, forwarder.pending_claims = [], [], []
         for worker in controller.workers.values():
             worker.queue = claims.PartitionQueue()
 
--- a/tests/test_agaterail/test_members.py
+++ b/tests/test_agaterail/test_members.py
@@ -15,7 +15,7 @@
 
     def miss_for(self, start_s, seconds, weight=CALL_WEIGHT):
         for tenth in range(int(seconds * 10) + 1):
-            self.view.on_missed(OTHER, weight, start_s + tenth / 10)
+            self.view.on_unanswered(OTHER, weight, start_s + tenth / 10)
 
     def test_failed_calls_eject_a_member_for_a_bounded_time(self):
         self.miss_for(0.0, 1.5)
@@ -33,13 +33,13 @@
         # This process is paused for 10 s. When it continues, all queries that
         # were in flight time out at once, although the members are healthy.
         for _ in range(50):
-            self.view.on_missed(OTHER, QUERY_WEIGHT, 10.0)
+            self.view.on_unanswered(OTHER, QUERY_WEIGHT, 10.0)
         self.assertIn(OTHER, self.view.live(10.0))
 
     def test_an_answer_clears_earlier_failures(self):
         self.miss_for(0.0, 0.9)
-        self.view.on_heard(OTHER)
-        self.view.on_missed(OTHER, CALL_WEIGHT, 1.5)
+        self.view.on_message_received(OTHER)
+        self.view.on_unanswered(OTHER, CALL_WEIGHT, 1.5)
         self.assertIn(OTHER, self.view.live(1.5))
 
     def test_a_drain_notice_overrides_the_lagging_list(self):
@@ -61,5 +61,5 @@
 
     def test_contacts_are_bounded(self):
         for number in range(400):
-            self.view.on_heard(f"10.0.1.{number}:1")
+            self.view.on_message_received(f"10.0.1.{number}:1")
         self.assertEqual(len(self.view.contacts), 16)
