--- a/agaterail/gateway/inbound.py
+++ b/agaterail/gateway/inbound.py
@@ -112,7 +112,7 @@
     headers
         Headers to relay, without hop-by-hop headers.
     has_server_stamp
-        Whether the Server-Stamp header is present; other answers are not relayed.
+        Whether the answer bears the stamp of a server; other answers are not relayed.
     keep_alive_s
         Seconds for which the target keeps an idle connection open; None if not given.
     weights_version
